--- a/source/core/router/answer_sizes.cc
+++ b/source/core/router/answer_sizes.cc
@@ -5,19 +5,19 @@
 namespace {
 
 /// Share of the newest size in the mean.
-constexpr double kShare = 0.1;
+constexpr double kNewestSampleWeight = 0.1;
 
 }  // namespace
 
-void AnswerSizes::note(RouteKind kind, std::size_t bytes) {
+void ResponseSizeEstimator::record(RouteKind kind, std::size_t bytes) {
   double& mean = means_.at(static_cast<std::size_t>(kind));
   const auto size = static_cast<double>(bytes);
-  mean = mean == 0 ? size : mean + (size - mean) * kShare;
+  mean = mean == 0 ? size : mean + (size - mean) * kNewestSampleWeight;
 }
 
-double AnswerSizes::expected(RouteKind kind) const {
+double ResponseSizeEstimator::expectedBytes(RouteKind kind) const {
   const double mean = means_.at(static_cast<std::size_t>(kind));
-  return mean < kLargeAnswerBytes ? 0 : mean;
+  return mean < kLargeResponseBytes ? 0 : mean;
 }
 
 }  // namespace shedlever
--- a/source/core/router/answer_sizes.h
+++ b/source/core/router/answer_sizes.h
@@ -11,14 +11,14 @@
 namespace shedlever {
 
 /// Answers below this size are no load for a link.
-inline constexpr double kLargeAnswerBytes = 24.0 * 1024;
+inline constexpr double kLargeResponseBytes = 24.0 * 1024;
 
-class AnswerSizes {
+class ResponseSizeEstimator {
  public:
-  void note(RouteKind kind, std::size_t bytes);
+  void record(RouteKind kind, std::size_t bytes);
 
   /// @return mean size of the kind's answers; 0 while they are small, or none has come.
-  double expected(RouteKind kind) const;
+  double expectedBytes(RouteKind kind) const;
 
  private:
   static constexpr std::size_t kKinds = 3;
--- a/source/core/router/claim_keeper.cc
+++ b/source/core/router/claim_keeper.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-constexpr std::array<const char*, 4> kStateWords = {"open", "not-run", "answered", "unknown"};
+constexpr std::array<const char*, 4> kStateNames = {"open", "not-run", "answered", "unknown"};
 
 std::string hexOf(const Sha256Digest& digest) {
   constexpr const char* kDigits = "0123456789abcdef";
@@ -54,44 +54,44 @@
   return bytes;
 }
 
-json encodeAnswer(const HttpResponse& answer) {
+json encodeResponse(const HttpResponse& response) {
   json headers = json::array();
-  for (const HttpHeader& header : answer.headers) {
+  for (const HttpHeader& header : response.headers) {
     headers.push_back({header.name, header.value});
   }
-  return {{"status", answer.status}, {"headers", std::move(headers)}, {"body", toBase64(answer.body)}};
+  return {{"status", response.status}, {"headers", std::move(headers)}, {"body", toBase64(response.body)}};
 }
 
-HttpResponse decodeAnswer(const json& document) {
-  HttpResponse answer;
-  answer.status = document.at("status").get<int>();
+HttpResponse decodeResponse(const json& document) {
+  HttpResponse response;
+  response.status = document.at("status").get<int>();
   for (const json& header : document.at("headers")) {
-    answer.headers.push_back({header.at(0).get<std::string>(), header.at(1).get<std::string>()});
+    response.headers.push_back({header.at(0).get<std::string>(), header.at(1).get<std::string>()});
   }
   const auto body = fromBase64(document.at("body").get<std::string>());
   if (!body) {
     throw std::invalid_argument("body is no base64");
   }
-  answer.body = *body;
-  return answer;
+  response.body = *body;
+  return response;
 }
 
 ClaimState stateFrom(const std::string& word) {
-  for (std::size_t i = 0; i < kStateWords.size(); ++i) {
-    if (word == kStateWords[i]) {
+  for (std::size_t i = 0; i < kStateNames.size(); ++i) {
+    if (word == kStateNames[i]) {
       return static_cast<ClaimState>(i);
     }
   }
   return ClaimState::Unknown;
 }
 
-ClaimState stateOf(ClaimEnd end) {
+ClaimState stateOf(ClaimOutcome end) {
   switch (end) {
-    case ClaimEnd::NotRun:
+    case ClaimOutcome::NotRun:
       return ClaimState::NotRun;
-    case ClaimEnd::Answered:
+    case ClaimOutcome::Answered:
       return ClaimState::Answered;
-    case ClaimEnd::Unknown:
+    case ClaimOutcome::Unknown:
       break;
   }
   return ClaimState::Unknown;
@@ -103,7 +103,7 @@
 
 }  // namespace
 
-std::string claimName(const ClaimKey& key) {
+std::string claimObjectName(const ClaimKey& key) {
   // Names can't hold a line's end, so no two keys give the same text.
   return hexOf(sha256(key.service.value + "\n" + key.tenant.value + "\n" + key.key.value));
 }
@@ -112,9 +112,9 @@
   json document = {{"request", request.value},
                    {"node", holder.name.value},
                    {"incarnation", holder.incarnation.value},
-                   {"state", kStateWords.at(static_cast<std::size_t>(state))}};
-  if (answer) {
-    document["answer"] = encodeAnswer(*answer);
+                   {"state", kStateNames.at(static_cast<std::size_t>(state))}};
+  if (response) {
+    document["answer"] = encodeResponse(*response);
   }
   return document.dump();
 }
@@ -131,7 +131,7 @@
     record.holder.name = NodeName(document.at("node").get<std::string>());
     record.holder.incarnation.value = document.at("incarnation").get<std::uint64_t>();
     if (document.contains("answer")) {
-      record.answer = decodeAnswer(document.at("answer"));
+      record.response = decodeResponse(document.at("answer"));
     }
     record.state = stateFrom(document.at("state").get<std::string>());
   } catch (const std::exception&) {
@@ -140,35 +140,36 @@
   return record;
 }
 
-ClaimKeeper::ClaimKeeper(NodeIdentity self, MetadataStore& store, const Clock& clock,
-                         std::function<bool(const NodeIdentity&)> lives)
-    : self_(std::move(self)), store_(store), clock_(clock), lives_(std::move(lives)) {}
+ClaimManager::ClaimManager(NodeIdentity self, MetadataStore& store, const Clock& clock,
+                           std::function<bool(const NodeIdentity&)> is_alive)
+    : self_(std::move(self)), store_(store), clock_(clock), is_alive_(std::move(is_alive)) {}
 
-ClaimNumber ClaimKeeper::begin(const ClaimKey& key, const RequestId& request, TimePoint deadline, Decided decided) {
-  const ClaimNumber number = ++last_number_;
-  Claim& claim = claims_[number];
-  claim.name = claimName(key);
+ClaimHandle ClaimManager::acquire(const ClaimKey& key, const RequestId& request, TimePoint deadline,
+                                  DecisionCallback on_decided) {
+  const ClaimHandle handle = ++last_handle_;
+  Claim& claim = claims_[handle];
+  claim.name = claimObjectName(key);
   claim.record.request = request;
   claim.record.holder = self_;
   claim.deadline = deadline;
-  claim.decided = std::move(decided);
-  send(number, claim);
-  return number;
+  claim.on_decided = std::move(on_decided);
+  send(handle, claim);
+  return handle;
 }
 
-void ClaimKeeper::send(ClaimNumber number, Claim& claim) {
+void ClaimManager::send(ClaimHandle handle, Claim& claim) {
   claim.in_flight = true;
   const MetadataObject object{claim.name, claim.revision, claim.record.encode()};
-  const auto done = [this, number](const StoreAnswer& answer) { onAnswer(number, answer); };
+  const auto done = [this, handle](const StoreAnswer& answer) { onAnswer(handle, answer); };
   if (claim.revision.none()) {
-    store_.create(kClaimKind, object, done);
+    store_.create(kClaimObjectKind, object, done);
   } else {
-    store_.replace(kClaimKind, object, done);
+    store_.replace(kClaimObjectKind, object, done);
   }
 }
 
-void ClaimKeeper::onAnswer(ClaimNumber number, const StoreAnswer& answer) {
-  const auto found = claims_.find(number);
+void ClaimManager::onAnswer(ClaimHandle handle, const StoreAnswer& answer) {
+  const auto found = claims_.find(handle);
   if (found == claims_.end()) {
     return;
   }
@@ -179,41 +180,41 @@
       onWritten(found, answer.object);
       return;
     case StoreStatus::Conflict:
-      onOther(found, answer.object);
+      onConflict(found, answer.object);
       return;
     case StoreStatus::Absent:
       claim.revision = {};
-      claim.next = clock_.now();
+      claim.next_send_at = clock_.now();
       return;
     case StoreStatus::Refused:
     case StoreStatus::Unknown:
-      claim.next = clock_.now() + config_.retry;
+      claim.next_send_at = clock_.now() + config_.retry_interval;
       return;
   }
 }
 
 /// The record as it was sent stands in the store. It may have been sent before the request ended.
-void ClaimKeeper::onWritten(Claims::iterator found, const MetadataObject& object) {
+void ClaimManager::onWritten(Claims::iterator found, const MetadataObject& object) {
   Claim& claim = found->second;
   claim.revision = object.revision;
-  claim.again = false;
+  claim.rewrite = false;
   const ClaimState written = ClaimRecord::decode(object.value).state;
   if (claim.ended) {
     if (written == claim.record.state) {
-      remember(claim.name, object.revision);
-      keep(claim);
+      scheduleRemoval(claim.name, object.revision);
+      retain(claim);
       claims_.erase(found);
     } else {
-      claim.next = clock_.now();
+      claim.next_send_at = clock_.now();
     }
     return;
   }
   if (claim.granted) {
     return;
   }
-  if (clock_.now() < hold_until_) {
+  if (clock_.now() < grants_held_until_) {
     // Whoever holds the claim already writes over this one until then, and the next write finds that out.
-    claim.next = hold_until_;
+    claim.next_send_at = grants_held_until_;
     return;
   }
   claim.granted = true;
@@ -221,7 +222,7 @@
 }
 
 /// Another record stands in the store, or an earlier write of this claim that had no answer.
-void ClaimKeeper::onOther(Claims::iterator found, const MetadataObject& object) {
+void ClaimManager::onConflict(Claims::iterator found, const MetadataObject& object) {
   Claim& claim = found->second;
   const ClaimRecord other = ClaimRecord::decode(object.value);
   if (sameRequest(other, claim.record)) {
@@ -230,12 +231,12 @@
   }
   const bool has_run = other.state == ClaimState::Answered || other.state == ClaimState::Unknown;
   const bool frees_key = claim.record.state == ClaimState::NotRun;
-  if (claim.again && !has_run && !frees_key) {
+  if (claim.rewrite && !has_run && !frees_key) {
     claim.revision = object.revision;
-    claim.next = clock_.now();
+    claim.next_send_at = clock_.now();
     return;
   }
-  claim.again = false;
+  claim.rewrite = false;
   if (claim.granted && !claim.ended) {
     return;
   }
@@ -246,22 +247,22 @@
   }
   if (other.state == ClaimState::NotRun) {
     claim.revision = object.revision;
-    claim.next = clock_.now();
+    claim.next_send_at = clock_.now();
     return;
   }
-  ClaimAnswer answer = verdictOn(other);
-  const Decided decided = std::move(claim.decided);
+  ClaimResult answer = verdictFor(other);
+  const DecisionCallback on_decided = std::move(claim.on_decided);
   claims_.erase(found);
-  decided(answer);
+  on_decided(answer);
 }
 
-ClaimAnswer ClaimKeeper::verdictOn(const ClaimRecord& other) const {
+ClaimResult ClaimManager::verdictFor(const ClaimRecord& other) const {
   switch (other.state) {
     case ClaimState::Answered:
-      return other.answer ? ClaimAnswer{ClaimVerdict::Recorded, *other.answer}
-                          : ClaimAnswer{ClaimVerdict::OutcomeUnknown, {}};
+      return other.response ? ClaimResult{ClaimVerdict::Recorded, *other.response}
+                            : ClaimResult{ClaimVerdict::OutcomeUnknown, {}};
     case ClaimState::Open:
-      return {lives_(other.holder) ? ClaimVerdict::InProgress : ClaimVerdict::OutcomeUnknown, {}};
+      return {is_alive_(other.holder) ? ClaimVerdict::InProgress : ClaimVerdict::OutcomeUnknown, {}};
     case ClaimState::NotRun:
     case ClaimState::Unknown:
       break;
@@ -269,108 +270,110 @@
   return {ClaimVerdict::OutcomeUnknown, {}};
 }
 
-void ClaimKeeper::decide(Claims::iterator found, const ClaimAnswer& answer) {
-  const Decided decided = std::exchange(found->second.decided, {});
-  if (decided) {
-    decided(answer);
+void ClaimManager::decide(Claims::iterator found, const ClaimResult& answer) {
+  const DecisionCallback on_decided = std::exchange(found->second.on_decided, {});
+  if (on_decided) {
+    on_decided(answer);
   }
 }
 
-void ClaimKeeper::settle(Claim& claim, ClaimState state) {
+void ClaimManager::markEnded(Claim& claim, ClaimState state) {
   claim.ended = true;
   claim.record.state = state;
-  claim.next = clock_.now();
+  claim.next_send_at = clock_.now();
 }
 
-void ClaimKeeper::finish(ClaimNumber number, ClaimEnd end, const HttpResponse& answer) {
-  const auto found = claims_.find(number);
+void ClaimManager::finish(ClaimHandle handle, ClaimOutcome end, const HttpResponse& response) {
+  const auto found = claims_.find(handle);
   if (found == claims_.end() || found->second.ended) {
     return;
   }
   Claim& claim = found->second;
-  claim.decided = {};
-  if (end == ClaimEnd::Answered && answer.body.size() <= config_.largest_answer) {
-    claim.record.answer = answer;
+  claim.on_decided = {};
+  if (end == ClaimOutcome::Answered && response.body.size() <= config_.max_response_bytes) {
+    claim.record.response = response;
   }
-  settle(claim, stateOf(end));
+  markEnded(claim, stateOf(end));
 }
 
-void ClaimKeeper::onStoreRestored() {
+void ClaimManager::onStoreRestored() {
   const TimePoint now = clock_.now();
-  hold_until_ = now + config_.restore_hold;
-  for (auto& [number, claim] : claims_) {
+  grants_held_until_ = now + config_.grant_delay_after_restore;
+  for (auto& [handle, claim] : claims_) {
     if (claim.granted) {
       claim.revision = {};
-      claim.again = true;
-      claim.next = now;
+      claim.rewrite = true;
+      claim.next_send_at = now;
     }
   }
-  for (Kept& kept : kept_) {
-    Claim& claim = claims_[++last_number_];
-    claim.name = std::move(kept.name);
-    claim.record = std::move(kept.record);
+  for (RetainedClaim& retained : retained_claims_) {
+    Claim& claim = claims_[++last_handle_];
+    claim.name = std::move(retained.name);
+    claim.record = std::move(retained.record);
     claim.granted = true;
     claim.ended = true;
-    claim.again = true;
-    claim.next = now;
+    claim.rewrite = true;
+    claim.next_send_at = now;
   }
-  kept_.clear();
-  kept_bytes_ = 0;
+  retained_claims_.clear();
+  retained_response_bytes_ = 0;
 }
 
-bool ClaimKeeper::isLate(const Claim& claim, TimePoint now) const {
-  const bool held_longer = now < hold_until_ && claim.deadline <= hold_until_;
+bool ClaimManager::willMissDeadline(const Claim& claim, TimePoint now) const {
+  const bool held_longer = now < grants_held_until_ && claim.deadline <= grants_held_until_;
   return !claim.granted && !claim.ended && (now >= claim.deadline || held_longer);
 }
 
-void ClaimKeeper::keep(const Claim& claim) {
+void ClaimManager::retain(const Claim& claim) {
   if (claim.record.state == ClaimState::NotRun) {
     return;
   }
-  Kept kept{clock_.now() + config_.copy_age, claim.name, claim.record};
-  const std::size_t bytes = claim.record.answer ? claim.record.answer->body.size() : 0;
-  if (kept_bytes_ + bytes > config_.most_kept_bytes) {
+  RetainedClaim retained{clock_.now() + config_.max_backup_age, claim.name, claim.record};
+  const std::size_t bytes = claim.record.response ? claim.record.response->body.size() : 0;
+  if (retained_response_bytes_ + bytes > config_.max_retained_response_bytes) {
     // That it has run is worth more than what it was answered.
-    kept.record.answer.reset();
+    retained.record.response.reset();
   } else {
-    kept_bytes_ += bytes;
+    retained_response_bytes_ += bytes;
   }
-  kept_.push_back(std::move(kept));
+  retained_claims_.push_back(std::move(retained));
 }
 
-void ClaimKeeper::tick(TimePoint now) {
-  std::vector<ClaimNumber> late;
-  for (auto& [number, claim] : claims_) {
-    const bool to_write = claim.ended || !claim.granted || claim.again;
-    if (isLate(claim, now)) {
-      late.push_back(number);
-    } else if (!claim.in_flight && to_write && now >= claim.next) {
-      send(number, claim);
+void ClaimManager::tick(TimePoint now) {
+  std::vector<ClaimHandle> late;
+  for (auto& [handle, claim] : claims_) {
+    const bool to_write = claim.ended || !claim.granted || claim.rewrite;
+    if (willMissDeadline(claim, now)) {
+      late.push_back(handle);
+    } else if (!claim.in_flight && to_write && now >= claim.next_send_at) {
+      send(handle, claim);
     }
   }
-  for (const ClaimNumber number : late) {
-    const auto found = claims_.find(number);
-    settle(found->second, ClaimState::NotRun);
+  for (const ClaimHandle handle : late) {
+    const auto found = claims_.find(handle);
+    markEnded(found->second, ClaimState::NotRun);
     decide(found, {ClaimVerdict::Unavailable, {}});
   }
-  removeOld(now);
+  removeExpired(now);
 }
 
-void ClaimKeeper::remember(const std::string& name, StoreRevision revision) {
-  if (ended_.size() >= config_.most_remembered) {
-    ended_.pop_front();
+void ClaimManager::scheduleRemoval(const std::string& name, StoreRevision revision) {
+  if (scheduled_removals_.size() >= config_.max_scheduled_removals) {
+    scheduled_removals_.pop_front();
   }
-  ended_.push_back({clock_.now() + config_.retention, name, revision});
+  scheduled_removals_.push_back({clock_.now() + config_.retention, name, revision});
 }
 
-void ClaimKeeper::removeOld(TimePoint now) {
-  while (!kept_.empty() && kept_.front().until <= now) {
-    kept_bytes_ -= kept_.front().record.answer ? kept_.front().record.answer->body.size() : 0;
-    kept_.pop_front();
+void ClaimManager::removeExpired(TimePoint now) {
+  while (!retained_claims_.empty() && retained_claims_.front().retain_until <= now) {
+    retained_response_bytes_ -=
+        retained_claims_.front().record.response ? retained_claims_.front().record.response->body.size() : 0;
+    retained_claims_.pop_front();
   }
-  while (!ended_.empty() && ended_.front().remove_at <= now) {
-    store_.remove(kClaimKind, ended_.front().name, ended_.front().revision, [](const StoreAnswer&) {});
-    ended_.pop_front();
+  while (!scheduled_removals_.empty() && scheduled_removals_.front().remove_at <= now) {
+    store_.remove(kClaimObjectKind, scheduled_removals_.front().name, scheduled_removals_.front().revision,
+                  [](const StoreAnswer&) {});
+    scheduled_removals_.pop_front();
   }
 }
 
--- a/source/core/router/duration_text.cc
+++ b/source/core/router/duration_text.cc
@@ -9,7 +9,7 @@
 constexpr double kMicrosecondsPerMillisecond = 1000.0;
 constexpr double kMicrosecondsPerSecond = 1'000'000.0;
 /// Longer times are not meant.
-constexpr double kLongest = 1e15;
+constexpr double kMaxMicroseconds = 1e15;
 
 }  // namespace
 
@@ -24,15 +24,15 @@
     return std::nullopt;
   }
   const double microseconds = number * (unit == "ms" ? kMicrosecondsPerMillisecond : kMicrosecondsPerSecond);
-  if (!(microseconds < kLongest)) {
+  if (!(microseconds < kMaxMicroseconds)) {
     return std::nullopt;
   }
   return Duration(static_cast<Duration::rep>(microseconds));
 }
 
-std::string durationText(Duration duration) { return millisecondsText(duration) + "ms"; }
+std::string formatDuration(Duration duration) { return formatMilliseconds(duration) + "ms"; }
 
-std::string millisecondsText(Duration duration) {
+std::string formatMilliseconds(Duration duration) {
   return std::to_string(std::chrono::floor<std::chrono::milliseconds>(duration).count());
 }
 
--- a/source/core/router/duration_text.h
+++ b/source/core/router/duration_text.h
@@ -15,9 +15,9 @@
 std::optional<Duration> parseDuration(std::string_view text);
 
 /// @return whole milliseconds, rounded down, with their unit.
-std::string durationText(Duration duration);
+std::string formatDuration(Duration duration);
 
 /// @return whole milliseconds, rounded down, without a unit, as logs show times.
-std::string millisecondsText(Duration duration);
+std::string formatMilliseconds(Duration duration);
 
 }  // namespace shedlever
--- a/source/core/router/failure_meter.h
+++ b/source/core/router/failure_meter.h
@@ -11,20 +11,20 @@
 class FailureMeter {
  public:
   /// A request that the server was sent has ended.
-  void note(bool failed, TimePoint now);
+  void record(bool failed, TimePoint now);
 
   /// @return share of those that failed, from 0 to 1; small while few have ended.
-  double share(TimePoint now) const;
+  double failureRatio(TimePoint now) const;
 
   /// The server is another one.
   void reset() { *this = {}; }
 
  private:
-  double fading(TimePoint now) const;
+  double decayFactor(TimePoint now) const;
 
   double ended_ = 0;
   double failed_ = 0;
-  TimePoint noted_at_{};
+  TimePoint updated_at_{};
 };
 
 }  // namespace shedlever
--- a/source/core/router/key_waits.cc
+++ b/source/core/router/key_waits.cc
@@ -9,21 +9,21 @@
 
 }  // namespace
 
-void KeyWaits::update(const std::function<bool(Key first)>& waits, TimePoint now) {
-  std::erase_if(since_, [&](const auto& wait) {
+void KeyWaitEstimator::update(const std::function<bool(Key first)>& waits, TimePoint now) {
+  std::erase_if(waiting_since_, [&](const auto& wait) {
     const auto& [first, since] = wait;
     if (waits(first)) {
       return false;
     }
-    times_.note(kAllWaits, now - since);
+    durations_.record(kAllWaits, now - since);
     return true;
   });
 }
 
-Duration KeyWaits::expectedLeft(Key first, TimePoint now) const {
-  const auto found = since_.find(first);
-  const Duration passed = found == since_.end() ? Duration::zero() : now - found->second;
-  const Duration whole = times_.expected(kAllWaits, Duration::zero());
+Duration KeyWaitEstimator::expectedRemaining(Key first, TimePoint now) const {
+  const auto found = waiting_since_.find(first);
+  const Duration passed = found == waiting_since_.end() ? Duration::zero() : now - found->second;
+  const Duration whole = durations_.expected(kAllWaits, Duration::zero());
   // One that takes longer than most is as likely as not to take as long again.
   return whole > passed ? whole - passed : passed;
 }
--- a/source/core/router/key_waits.h
+++ b/source/core/router/key_waits.h
@@ -13,21 +13,21 @@
 
 /// Measures from the first request that could not be served. Who asks for a key that will not be served in time is
 /// refused at once, and told when it will be.
-class KeyWaits {
+class KeyWaitEstimator {
  public:
   /// A request came for a range of keys that can't be served yet.
   /// @param first key of the range.
-  void noteWaiting(Key first, TimePoint now) { since_.try_emplace(first, now); }
+  void onWaiting(Key first, TimePoint now) { waiting_since_.try_emplace(first, now); }
 
   /// Ends the waits that are over. @param waits whether the range that begins there can't be served yet.
   void update(const std::function<bool(Key first)>& waits, TimePoint now);
 
   /// @return how much longer the range is expected to wait; zero before the first wait has ended.
-  Duration expectedLeft(Key first, TimePoint now) const;
+  Duration expectedRemaining(Key first, TimePoint now) const;
 
  private:
-  std::map<Key, TimePoint> since_;
-  ServiceTimes times_;
+  std::map<Key, TimePoint> waiting_since_;
+  DurationEstimator durations_;
 };
 
 }  // namespace shedlever
--- a/source/core/router/link_budget.h
+++ b/source/core/router/link_budget.h
@@ -13,36 +13,36 @@
   /// What the link carries; 0: it never is the limit.
   double bytes_per_second = 0;
   /// Part of it that is used for paced bytes, as headers of the network take some.
-  double used_share = 0.9;
+  double used_fraction = 0.9;
   /// Bytes may run ahead by what the link carries in this time.
   Duration burst = std::chrono::milliseconds(20);
   /// But by no less than this.
-  std::size_t least_burst = 32U << 10U;
+  std::size_t min_burst_bytes = 32U << 10U;
 };
 
 class LinkBudget {
  public:
   explicit LinkBudget(const LinkConfig& config) : config_(config), tokens_(capacity()) {}
 
-  bool limited() const { return config_.bytes_per_second > 0; }
+  bool isLimited() const { return config_.bytes_per_second > 0; }
 
   /// Bytes have been handed over, allowed or not.
   void spend(std::size_t bytes, TimePoint now);
 
   /// @return zero when bytes may be handed over now; otherwise how long to wait.
-  Duration untilOpen(TimePoint now);
+  Duration timeUntilAvailable(TimePoint now);
 
   /// @return how long the link takes to carry so many bytes.
-  Duration timeFor(double bytes) const;
+  Duration transmissionTime(double bytes) const;
 
  private:
-  double rate() const { return config_.bytes_per_second * config_.used_share; }
+  double rate() const { return config_.bytes_per_second * config_.used_fraction; }
   double capacity() const;
   void refill(TimePoint now);
 
   LinkConfig config_;
   double tokens_;
-  TimePoint refilled_{};
+  TimePoint refilled_at_{};
 };
 
 }  // namespace shedlever
--- a/source/core/router/list_schedule.cc
+++ b/source/core/router/list_schedule.cc
@@ -7,23 +7,23 @@
 void ListSchedule::onListed(TimePoint now) {
   listed_ = true;
   listed_at_ = now;
-  not_before_ = now;
+  earliest_list_at_ = now;
   backoff_.onSuccess();
 }
 
-void ListSchedule::onFailed(TimePoint now) { not_before_ = now + backoff_.onFailure(); }
+void ListSchedule::onFailed(TimePoint now) { earliest_list_at_ = now + backoff_.onFailure(); }
 
-TimePoint ListSchedule::due(ListNeed need) const {
+TimePoint ListSchedule::dueAt(ListNeed need) const {
   if (!listed_) {
-    return not_before_;
+    return earliest_list_at_;
   }
-  Duration pause = times_.idle;
+  Duration pause = intervals_.idle;
   if (need == ListNeed::Missing) {
-    pause = times_.missing;
+    pause = intervals_.missing;
   } else if (need == ListNeed::Newer) {
-    pause = times_.newer;
+    pause = intervals_.newer;
   }
-  return std::max(listed_at_ + pause, not_before_);
+  return std::max(listed_at_ + pause, earliest_list_at_);
 }
 
 }  // namespace shedlever
--- a/source/core/router/list_schedule.h
+++ b/source/core/router/list_schedule.h
@@ -10,7 +10,7 @@
 
 namespace shedlever {
 
-struct ListTimes {
+struct ListIntervals {
   /// Between two lists while a newer object is known to exist. Most are told by another process before that.
   Duration newer = std::chrono::milliseconds(2500);
   /// Between two lists while nothing is known to be missing.
@@ -18,9 +18,9 @@
   /// Between two lists while there is no object at all, or one that should be there is missing.
   Duration missing = std::chrono::seconds(1);
   /// After a list without an answer; doubles with each ...
-  Duration retry = std::chrono::milliseconds(400);
+  Duration initial_retry = std::chrono::milliseconds(400);
   /// ... up to this. After a path to the store is whole again a process has some 2 s to read it.
-  Duration most_retry = std::chrono::milliseconds(1600);
+  Duration max_retry = std::chrono::milliseconds(1600);
 };
 
 /// What the reader knows to be lacking.
@@ -34,25 +34,26 @@
 /// backoff is over.
 class ListSchedule {
  public:
-  explicit ListSchedule(const ListTimes& times) : times_(times), backoff_(times.retry, times.most_retry) {}
+  explicit ListSchedule(const ListIntervals& intervals)
+      : intervals_(intervals), backoff_(intervals.initial_retry, intervals.max_retry) {}
 
   void onListed(TimePoint now);
   void onFailed(TimePoint now);
 
   /// @return when the next list is due; in the past when it is overdue.
-  TimePoint due(ListNeed need) const;
+  TimePoint dueAt(ListNeed need) const;
 
   /// @return whether the next list must tell the newest state: the first one, and one that looks for what is known to
   ///   exist. Others may be seconds old, which costs less.
   bool mustBeFresh(ListNeed need) const { return !listed_ || need == ListNeed::Newer; }
 
  private:
-  ListTimes times_;
+  ListIntervals intervals_;
   RetryBackoff backoff_;
   bool listed_ = false;
   TimePoint listed_at_{};
   /// No list is made before.
-  TimePoint not_before_{};
+  TimePoint earliest_list_at_{};
 };
 
 }  // namespace shedlever
--- a/source/core/router/quarantine/crash_quarantine.cc
+++ b/source/core/router/quarantine/crash_quarantine.cc
@@ -9,22 +9,22 @@
 namespace {
 
 /// Ends that point at one request where it is the only one that they point at.
-constexpr std::size_t kEndsOfTheOnlySuspect = 2;
+constexpr std::size_t kSoleSuspectCrashes = 2;
 /// Of a service's servers at a time some hundred end at worst; 256 ends of 64 requests are 260 KB.
-constexpr std::size_t kMostEnds = 256;
+constexpr std::size_t kMaxCrashes = 256;
 /// More than the slots of a server in use today (18 to 64).
-constexpr std::size_t kMostUnanswered = 128;
+constexpr std::size_t kMaxUnansweredPerCrash = 128;
 /// Requests known by records alone, or served since: more than servers can end for.
-constexpr std::size_t kMostSuspects = 8192;
+constexpr std::size_t kMaxSuspects = 8192;
 /// Told to each process that is reached, though nothing points at one request yet: the second end mostly follows
 /// within seconds of the first.
-constexpr Duration kRecent = std::chrono::seconds(60);
+constexpr Duration kRecentCrashAge = std::chrono::seconds(60);
 
 Duration::rep ageOf(TimePoint at, TimePoint now) { return std::max((now - at).count(), Duration::rep{0}); }
 
-void appendEnds(std::map<ServerEndId, ServerEnd>&& ends, ServerEndsFrame& news) {
-  for (auto& [unused, end] : ends) {
-    news.ends.push_back(std::move(end));
+void appendCrashes(std::map<ServerEndId, ServerEnd>&& ends, ServerEndsFrame& news) {
+  for (auto& [unused, crash] : ends) {
+    news.ends.push_back(std::move(crash));
   }
 }
 
@@ -32,48 +32,48 @@
 
 // News.
 
-ServerEndsFrame CrashQuarantine::onOwnEnd(const ServerEndId& id, const std::vector<RequestFingerprint>& unanswered,
-                                          TimePoint now) {
+ServerEndsFrame CrashQuarantine::onLocalCrash(const ServerEndId& id, const std::vector<RequestFingerprint>& unanswered,
+                                              TimePoint now) {
   ServerEndsFrame news;
-  if (unanswered.empty() || !addEnd(id, {now, unanswered, true})) {
+  if (unanswered.empty() || !addCrash(id, {now, unanswered, true})) {
     return news;
   }
   std::map<ServerEndId, ServerEnd> told;
-  told[id] = copyOf(*ends_.find(id), now);
+  told[id] = toMessage(*crashes_.find(id), now);
   for (const RequestFingerprint& request : unanswered) {
-    if (countOf(request) >= kEndsOfTheOnlySuspect) {
-      addEndsOf(request, now, told);
+    if (countedCrashes(request) >= kSoleSuspectCrashes) {
+      collectCrashes(request, now, told);
     }
   }
-  appendEnds(std::move(told), news);
+  appendCrashes(std::move(told), news);
   return news;
 }
 
-ServerEndsFrame CrashQuarantine::take(const ServerEndsFrame& told, TimePoint now) {
+ServerEndsFrame CrashQuarantine::merge(const ServerEndsFrame& told, TimePoint now) {
   ServerEndsFrame news;
   std::map<ServerEndId, ServerEnd> passed_on;
-  for (const ServerEnd& end : told.ends) {
-    const TimePoint at = now - Duration(end.age_us);
-    if (now - at > config_.time || !addEnd(end.id, {at, end.unanswered, false})) {
+  for (const ServerEnd& crash : told.ends) {
+    const TimePoint at = now - Duration(crash.age_us);
+    if (now - at > config_.duration || !addCrash(crash.id, {at, crash.unanswered, false})) {
       continue;
     }
-    for (const RequestFingerprint& request : end.unanswered) {
+    for (const RequestFingerprint& request : crash.unanswered) {
       const auto suspect = suspects_.find(request);
       if (suspect == suspects_.end()) {
         continue;
       }
-      if (countOf(suspect->second) >= kEndsOfTheOnlySuspect) {
-        addEndsOf(request, now, passed_on);
-      } else if (suspect->second.served_at != TimePoint{} && suspect->second.ends.size() >= kEndsOfTheOnlySuspect) {
+      if (countedCrashes(suspect->second) >= kSoleSuspectCrashes) {
+        collectCrashes(request, now, passed_on);
+      } else if (suspect->second.served_at != TimePoint{} && suspect->second.crashes.size() >= kSoleSuspectCrashes) {
         // Others may count the ends before it was served.
         news.served.push_back(servedOf(request, suspect->second, now));
       }
     }
   }
-  appendEnds(std::move(passed_on), news);
+  appendCrashes(std::move(passed_on), news);
   // After the ends: what is not suspected of any can't be cleared of one.
   for (const ServedSuspect& served : told.served) {
-    if (noteServed(served, now)) {
+    if (recordServed(served, now)) {
       news.served.push_back(served);
     }
   }
@@ -85,205 +85,206 @@
   if (found == suspects_.end()) {
     return {};
   }
-  const bool others_count = countOf(found->second) >= kEndsOfTheOnlySuspect || found->second.isQuarantined();
+  const bool others_count = countedCrashes(found->second) >= kSoleSuspectCrashes || found->second.isQuarantined();
   // Clocks of machines differ: what comes later must also look later.
-  const ServedSuspect served{request, std::max(seen_at_us, found->second.served_seen_us + 1), 0};
-  noteServed(served, now);
+  const ServedSuspect served{request, std::max(seen_at_us, found->second.served_at_unix_us + 1), 0};
+  recordServed(served, now);
   return others_count ? ServerEndsFrame{{}, {served}} : ServerEndsFrame{};
 }
 
 ServerEndsFrame CrashQuarantine::summary(TimePoint now) const {
   std::map<ServerEndId, ServerEnd> told;
   ServerEndsFrame news;
-  for (const auto& end : ends_) {
-    if (now - end.second.at <= kRecent) {
-      told.emplace(end.first, copyOf(end, now));
+  for (const auto& crash : crashes_) {
+    if (now - crash.second.at <= kRecentCrashAge) {
+      told.emplace(crash.first, toMessage(crash, now));
     }
   }
   for (const auto& [request, suspect] : suspects_) {
-    if (countOf(suspect) >= kEndsOfTheOnlySuspect) {
-      addEndsOf(request, now, told);
+    if (countedCrashes(suspect) >= kSoleSuspectCrashes) {
+      collectCrashes(request, now, told);
     }
-    if (suspect.served_at != TimePoint{} && !suspect.ends.empty()) {
+    if (suspect.served_at != TimePoint{} && !suspect.crashes.empty()) {
       news.served.push_back(servedOf(request, suspect, now));
     }
   }
-  appendEnds(std::move(told), news);
+  appendCrashes(std::move(told), news);
   return news;
 }
 
-void CrashQuarantine::addEndsOf(const RequestFingerprint& request, TimePoint now,
-                                std::map<ServerEndId, ServerEnd>& found) const {
-  for (const ServerEndId& id : suspects_.at(request).ends) {
-    found.try_emplace(id, copyOf(*ends_.find(id), now));
+void CrashQuarantine::collectCrashes(const RequestFingerprint& request, TimePoint now,
+                                     std::map<ServerEndId, ServerEnd>& found) const {
+  for (const ServerEndId& id : suspects_.at(request).crashes) {
+    found.try_emplace(id, toMessage(*crashes_.find(id), now));
   }
 }
 
-ServerEnd CrashQuarantine::copyOf(const Ends::value_type& end, TimePoint now) const {
-  return {end.first, ageOf(end.second.at, now), end.second.unanswered};
+ServerEnd CrashQuarantine::toMessage(const Crashes::value_type& crash, TimePoint now) const {
+  return {crash.first, ageOf(crash.second.at, now), crash.second.unanswered};
 }
 
 // What is known.
 
-bool CrashQuarantine::addEnd(const ServerEndId& id, End end) {
-  if (ends_.contains(id)) {
+bool CrashQuarantine::addCrash(const ServerEndId& id, Crash crash) {
+  if (crashes_.contains(id)) {
     return false;
   }
   // Named twice by one end, a request would count as at two.
-  std::sort(end.unanswered.begin(), end.unanswered.end());
-  end.unanswered.erase(std::unique(end.unanswered.begin(), end.unanswered.end()), end.unanswered.end());
-  if (end.unanswered.size() > kMostUnanswered) {
-    end.unanswered.resize(kMostUnanswered);
+  std::sort(crash.unanswered.begin(), crash.unanswered.end());
+  crash.unanswered.erase(std::unique(crash.unanswered.begin(), crash.unanswered.end()), crash.unanswered.end());
+  if (crash.unanswered.size() > kMaxUnansweredPerCrash) {
+    crash.unanswered.resize(kMaxUnansweredPerCrash);
   }
-  if (ends_.size() >= kMostEnds) {
-    dropEnd(std::min_element(ends_.begin(), ends_.end(),
-                             [](const auto& left, const auto& right) { return left.second.at < right.second.at; }));
+  if (crashes_.size() >= kMaxCrashes) {
+    dropCrash(std::min_element(crashes_.begin(), crashes_.end(),
+                               [](const auto& left, const auto& right) { return left.second.at < right.second.at; }));
   }
-  const End& added = ends_.emplace(id, std::move(end)).first->second;
+  const Crash& added = crashes_.emplace(id, std::move(crash)).first->second;
   std::vector<RequestFingerprint> repeated;
   for (const RequestFingerprint& request : added.unanswered) {
-    if (suspects_.size() >= kMostSuspects && !suspects_.contains(request)) {
+    if (suspects_.size() >= kMaxSuspects && !suspects_.contains(request)) {
       continue;
     }
     Suspect& suspect = suspects_[request];
-    suspect.ends.push_back(id);
-    suspect.recorded_here = suspect.recorded_here || added.own;
-    if (suspect.ends.size() >= kEndsOfTheOnlySuspect) {
+    suspect.crashes.push_back(id);
+    suspect.in_own_record = suspect.in_own_record || added.is_local;
+    if (suspect.crashes.size() >= kSoleSuspectCrashes) {
       repeated.push_back(request);
     }
   }
   // The first end of a request bears on nothing.
   for (const RequestFingerprint& request : repeated) {
-    judgeAllBeside(request);
+    reevaluateAffected(request);
   }
   return true;
 }
 
-void CrashQuarantine::dropEnd(Ends::iterator end) {
-  for (const RequestFingerprint& request : end->second.unanswered) {
+void CrashQuarantine::dropCrash(Crashes::iterator crash) {
+  for (const RequestFingerprint& request : crash->second.unanswered) {
     const auto suspect = suspects_.find(request);
     if (suspect == suspects_.end()) {
       continue;
     }
-    std::erase(suspect->second.ends, end->first);
-    if (suspect->second.ends.empty()) {
-      setUntil(suspect->second, {}, suspect->second.recorded_until);
+    std::erase(suspect->second.crashes, crash->first);
+    if (suspect->second.crashes.empty()) {
+      setQuarantineEnd(suspect->second, {}, suspect->second.recorded_until);
     }
-    if (suspect->second.ends.empty() && !suspect->second.isQuarantined()) {
+    if (suspect->second.crashes.empty() && !suspect->second.isQuarantined()) {
       suspects_.erase(suspect);
     }
   }
-  ends_.erase(end);
+  crashes_.erase(crash);
 }
 
 ServedSuspect CrashQuarantine::servedOf(const RequestFingerprint& request, const Suspect& suspect, TimePoint now) {
-  return {request, suspect.served_seen_us, ageOf(suspect.served_at, now)};
+  return {request, suspect.served_at_unix_us, ageOf(suspect.served_at, now)};
 }
 
-bool CrashQuarantine::noteServed(const ServedSuspect& served, TimePoint now) {
+bool CrashQuarantine::recordServed(const ServedSuspect& served, TimePoint now) {
   const auto found = suspects_.find(served.request);
-  if (found == suspects_.end() || served.seen_at_us <= found->second.served_seen_us) {
+  if (found == suspects_.end() || served.seen_at_us <= found->second.served_at_unix_us) {
     return false;
   }
   Suspect& suspect = found->second;
   const TimePoint at = now - Duration(served.age_us);
-  suspect.served_seen_us = served.seen_at_us;
+  suspect.served_at_unix_us = served.seen_at_us;
   suspect.served_at = at;
-  const bool recorded_later = suspect.recorded_until - config_.time > at;
-  setUntil(suspect, suspect.proved_until, recorded_later ? suspect.recorded_until : TimePoint{});
+  const bool recorded_later = suspect.recorded_until - config_.duration > at;
+  setQuarantineEnd(suspect, suspect.proved_until, recorded_later ? suspect.recorded_until : TimePoint{});
   // What still counts against it may be enough; and what is cleared may leave another request as the only one.
-  judgeAllBeside(served.request);
+  reevaluateAffected(served.request);
   return true;
 }
 
-std::size_t CrashQuarantine::countOf(const Suspect& suspect) const {
-  const auto counts = [this, &suspect](const ServerEndId& id) { return ends_.at(id).at > suspect.served_at; };
-  return static_cast<std::size_t>(std::count_if(suspect.ends.begin(), suspect.ends.end(), counts));
+std::size_t CrashQuarantine::countedCrashes(const Suspect& suspect) const {
+  const auto counts = [this, &suspect](const ServerEndId& id) { return crashes_.at(id).at > suspect.served_at; };
+  return static_cast<std::size_t>(std::count_if(suspect.crashes.begin(), suspect.crashes.end(), counts));
 }
 
-std::size_t CrashQuarantine::countOf(const RequestFingerprint& request) const {
+std::size_t CrashQuarantine::countedCrashes(const RequestFingerprint& request) const {
   const auto found = suspects_.find(request);
-  return found == suspects_.end() ? 0 : countOf(found->second);
+  return found == suspects_.end() ? 0 : countedCrashes(found->second);
 }
 
-std::size_t CrashQuarantine::countAt(const RequestFingerprint& request, TimePoint time) const {
+std::size_t CrashQuarantine::countedCrashesAt(const RequestFingerprint& request, TimePoint time) const {
   const auto found = suspects_.find(request);
   if (found == suspects_.end()) {
     return 0;
   }
   const Suspect& suspect = found->second;
   const auto counts = [this, &suspect, time](const ServerEndId& id) {
-    const TimePoint at = ends_.at(id).at;
+    const TimePoint at = crashes_.at(id).at;
     return at > suspect.served_at && at <= time;
   };
-  return static_cast<std::size_t>(std::count_if(suspect.ends.begin(), suspect.ends.end(), counts));
+  return static_cast<std::size_t>(std::count_if(suspect.crashes.begin(), suspect.crashes.end(), counts));
 }
 
-bool CrashQuarantine::proves(const End& end, const RequestFingerprint& request) const {
-  const std::size_t count = countAt(request, end.at);
-  if (count >= config_.ends) {
+bool CrashQuarantine::implicates(const Crash& crash, const RequestFingerprint& request) const {
+  const std::size_t count = countedCrashesAt(request, crash.at);
+  if (count >= config_.crash_threshold) {
     return true;
   }
-  const auto is_rival = [this, &end, &request](const RequestFingerprint& other) {
-    return other != request && countAt(other, end.at) >= kEndsOfTheOnlySuspect;
+  const auto is_rival = [this, &crash, &request](const RequestFingerprint& other) {
+    return other != request && countedCrashesAt(other, crash.at) >= kSoleSuspectCrashes;
   };
-  return count >= kEndsOfTheOnlySuspect && std::none_of(end.unanswered.begin(), end.unanswered.end(), is_rival);
+  return count >= kSoleSuspectCrashes && std::none_of(crash.unanswered.begin(), crash.unanswered.end(), is_rival);
 }
 
-void CrashQuarantine::judge(const RequestFingerprint& request, Suspect& suspect) {
+void CrashQuarantine::reevaluate(const RequestFingerprint& request, Suspect& suspect) {
   bool proved = false;
   TimePoint last{};
-  for (const ServerEndId& id : suspect.ends) {
-    const End& end = ends_.at(id);
-    if (end.at > suspect.served_at) {
-      last = std::max(last, end.at);
-      proved = proved || proves(end, request);
+  for (const ServerEndId& id : suspect.crashes) {
+    const Crash& crash = crashes_.at(id);
+    if (crash.at > suspect.served_at) {
+      last = std::max(last, crash.at);
+      proved = proved || implicates(crash, request);
     }
   }
-  setUntil(suspect, proved ? last + config_.time : TimePoint{}, suspect.recorded_until);
+  setQuarantineEnd(suspect, proved ? last + config_.duration : TimePoint{}, suspect.recorded_until);
 }
 
-void CrashQuarantine::judgeAllBeside(const RequestFingerprint& request) {
+void CrashQuarantine::reevaluateAffected(const RequestFingerprint& request) {
   std::set<RequestFingerprint> affected;
-  for (const ServerEndId& id : suspects_.at(request).ends) {
-    const End& end = ends_.at(id);
-    affected.insert(end.unanswered.begin(), end.unanswered.end());
+  for (const ServerEndId& id : suspects_.at(request).crashes) {
+    const Crash& crash = crashes_.at(id);
+    affected.insert(crash.unanswered.begin(), crash.unanswered.end());
   }
   for (const RequestFingerprint& one : affected) {
     const auto found = suspects_.find(one);
     if (found != suspects_.end()) {
-      judge(one, found->second);
+      reevaluate(one, found->second);
     }
   }
 }
 
-void CrashQuarantine::setUntil(Suspect& suspect, TimePoint proved, TimePoint recorded) {
-  quarantined_ -= suspect.isQuarantined() ? 1 : 0;
+void CrashQuarantine::setQuarantineEnd(Suspect& suspect, TimePoint proved, TimePoint recorded) {
+  quarantined_count_ -= suspect.isQuarantined() ? 1 : 0;
   suspect.proved_until = proved;
   suspect.recorded_until = recorded;
-  quarantined_ += suspect.isQuarantined() ? 1 : 0;
+  quarantined_count_ += suspect.isQuarantined() ? 1 : 0;
 }
 
-void CrashQuarantine::onRecorded(const RequestFingerprint& request, TimePoint until, bool own_record, TimePoint now) {
-  const TimePoint limited = std::min(until, now + config_.time);
-  if (limited <= now || (suspects_.size() >= kMostSuspects && !suspects_.contains(request))) {
+void CrashQuarantine::onQuarantineRecord(const RequestFingerprint& request, TimePoint until, bool own_record,
+                                         TimePoint now) {
+  const TimePoint limited = std::min(until, now + config_.duration);
+  if (limited <= now || (suspects_.size() >= kMaxSuspects && !suspects_.contains(request))) {
     return;
   }
   Suspect& suspect = suspects_[request];
   // A record that was written before the request was served may be read afterwards.
-  if (suspect.served_at != TimePoint{} && until - config_.time <= suspect.served_at) {
+  if (suspect.served_at != TimePoint{} && until - config_.duration <= suspect.served_at) {
     return;
   }
-  suspect.recorded_here = suspect.recorded_here || own_record;
-  setUntil(suspect, suspect.proved_until, std::max(suspect.recorded_until, limited));
+  suspect.in_own_record = suspect.in_own_record || own_record;
+  setQuarantineEnd(suspect, suspect.proved_until, std::max(suspect.recorded_until, limited));
 }
 
-std::optional<Duration> CrashQuarantine::timeLeft(const RequestFingerprint& request, TimePoint now) const {
+std::optional<Duration> CrashQuarantine::remainingTime(const RequestFingerprint& request, TimePoint now) const {
   const auto found = suspects_.find(request);
-  if (found == suspects_.end() || found->second.until() <= now) {
+  if (found == suspects_.end() || found->second.quarantinedUntil() <= now) {
     return std::nullopt;
   }
-  return found->second.until() - now;
+  return found->second.quarantinedUntil() - now;
 }
 
 std::vector<CrashQuarantine::Quarantined> CrashQuarantine::quarantined() const {
@@ -292,34 +293,34 @@
     if (!suspect.isQuarantined()) {
       continue;
     }
-    Quarantined& one = all.emplace_back(Quarantined{request, suspect.until(), {}, suspect.recorded_here});
-    std::copy_if(suspect.ends.begin(), suspect.ends.end(), std::back_inserter(one.ends),
-                 [this, &suspect = suspect](const ServerEndId& id) { return ends_.at(id).at > suspect.served_at; });
-    std::sort(one.ends.begin(), one.ends.end(), [this](const ServerEndId& left, const ServerEndId& right) {
-      return ends_.at(left).at < ends_.at(right).at;
+    Quarantined& one = all.emplace_back(Quarantined{request, suspect.quarantinedUntil(), {}, suspect.in_own_record});
+    std::copy_if(suspect.crashes.begin(), suspect.crashes.end(), std::back_inserter(one.crashes),
+                 [this, &suspect = suspect](const ServerEndId& id) { return crashes_.at(id).at > suspect.served_at; });
+    std::sort(one.crashes.begin(), one.crashes.end(), [this](const ServerEndId& left, const ServerEndId& right) {
+      return crashes_.at(left).at < crashes_.at(right).at;
     });
   }
   std::sort(all.begin(), all.end(), [](const auto& left, const auto& right) { return left.request < right.request; });
   return all;
 }
 
-bool CrashQuarantine::forget(TimePoint now) {
-  const std::size_t before = quarantined_;
-  for (auto end = ends_.begin(); end != ends_.end();) {
-    const auto next = std::next(end);
-    if (now - end->second.at > config_.time) {
-      dropEnd(end);
+bool CrashQuarantine::removeExpired(TimePoint now) {
+  const std::size_t before = quarantined_count_;
+  for (auto crash = crashes_.begin(); crash != crashes_.end();) {
+    const auto next = std::next(crash);
+    if (now - crash->second.at > config_.duration) {
+      dropCrash(crash);
     }
-    end = next;
+    crash = next;
   }
   for (auto suspect = suspects_.begin(); suspect != suspects_.end();) {
-    if (suspect->second.until() <= now) {
-      setUntil(suspect->second, {}, {});
+    if (suspect->second.quarantinedUntil() <= now) {
+      setQuarantineEnd(suspect->second, {}, {});
     }
-    const bool over = suspect->second.ends.empty() && !suspect->second.isQuarantined();
+    const bool over = suspect->second.crashes.empty() && !suspect->second.isQuarantined();
     suspect = over ? suspects_.erase(suspect) : std::next(suspect);
   }
-  return quarantined_ < before;
+  return quarantined_count_ < before;
 }
 
 }  // namespace shedlever
--- a/source/core/router/quarantine/crash_quarantine.h
+++ b/source/core/router/quarantine/crash_quarantine.h
@@ -16,10 +16,10 @@
 
 struct QuarantineConfig {
   /// Ends of servers that prove it of a request that was unanswered at each of them.
-  std::uint32_t ends = 3;
+  std::uint32_t crash_threshold = 3;
   /// How long such a request is kept from servers after the last of these ends, and how long an end is remembered: a
   /// release that mends the servers takes longer than minutes, and each try may cost a server and all it was doing.
-  Duration time = std::chrono::minutes(30);
+  Duration duration = std::chrono::minutes(30);
 };
 
 /// A server that ends tells nobody which of the requests on it was the cause. The same request at three ends, and never
@@ -37,11 +37,11 @@
 
   /// A server beside this process ended.
   /// @return what all others are to be told.
-  ServerEndsFrame onOwnEnd(const ServerEndId& id, const std::vector<RequestFingerprint>& unanswered, TimePoint now);
+  ServerEndsFrame onLocalCrash(const ServerEndId& id, const std::vector<RequestFingerprint>& unanswered, TimePoint now);
 
   /// Another process has told this.
   /// @return what is to be passed on to others; empty where nothing is new, or nothing points at one request yet.
-  ServerEndsFrame take(const ServerEndsFrame& told, TimePoint now);
+  ServerEndsFrame merge(const ServerEndsFrame& told, TimePoint now);
 
   /// A server has run the request and answered it.
   /// @param seen_at_us time of day, in microseconds since 1970.
@@ -53,79 +53,79 @@
 
   /// A node's record names the request as quarantined.
   /// @param own_record whether it is the record of this node, which goes on naming it.
-  void onRecorded(const RequestFingerprint& request, TimePoint until, bool own_record, TimePoint now);
+  void onQuarantineRecord(const RequestFingerprint& request, TimePoint until, bool own_record, TimePoint now);
 
   /// @return how much longer the request is kept from servers; none if it may be sent.
-  std::optional<Duration> timeLeft(const RequestFingerprint& request, TimePoint now) const;
+  std::optional<Duration> remainingTime(const RequestFingerprint& request, TimePoint now) const;
 
   /// @return whether any request is quarantined; costs nothing, so that others' fingerprints need not be computed.
-  bool isActive() const { return quarantined_ > 0; }
+  bool isActive() const { return quarantined_count_ > 0; }
 
   struct Quarantined {
     RequestFingerprint request;
     TimePoint until{};
     /// Ends that count against it, oldest first; none where only a record tells of it.
-    std::vector<ServerEndId> ends;
+    std::vector<ServerEndId> crashes;
     /// This node's record is to name it: it saw one of the ends, or its record has named it before.
-    bool recorded_here = false;
+    bool in_own_record = false;
   };
   std::vector<Quarantined> quarantined() const;
 
   /// Forgets what is too old. @return whether a request is free again.
-  bool forget(TimePoint now);
+  bool removeExpired(TimePoint now);
 
-  std::size_t rememberedEnds() const { return ends_.size(); }
+  std::size_t crashCount() const { return crashes_.size(); }
 
  private:
-  struct End {
+  struct Crash {
     TimePoint at{};
     std::vector<RequestFingerprint> unanswered;
-    bool own = false;
+    bool is_local = false;
   };
-  using Ends = std::map<ServerEndId, End>;
+  using Crashes = std::map<ServerEndId, Crash>;
 
   struct Suspect {
     /// Ends at which it was unanswered, in no order; also those before it was served.
-    std::vector<ServerEndId> ends;
+    std::vector<ServerEndId> crashes;
     TimePoint served_at{};
     /// Time of day of the same; 0 before the first.
-    std::uint64_t served_seen_us = 0;
+    std::uint64_t served_at_unix_us = 0;
     /// By the ends; zero where they don't prove it.
     TimePoint proved_until{};
     /// By records; zero where none names it.
     TimePoint recorded_until{};
-    bool recorded_here = false;
+    bool in_own_record = false;
 
     /// @return when its quarantine ends; zero where it is in none.
-    TimePoint until() const { return std::max(proved_until, recorded_until); }
-    bool isQuarantined() const { return until() != TimePoint{}; }
+    TimePoint quarantinedUntil() const { return std::max(proved_until, recorded_until); }
+    bool isQuarantined() const { return quarantinedUntil() != TimePoint{}; }
   };
 
-  bool addEnd(const ServerEndId& id, End end);
-  void dropEnd(Ends::iterator end);
+  bool addCrash(const ServerEndId& id, Crash crash);
+  void dropCrash(Crashes::iterator crash);
   /// @return whether it was news.
-  bool noteServed(const ServedSuspect& served, TimePoint now);
+  bool recordServed(const ServedSuspect& served, TimePoint now);
   static ServedSuspect servedOf(const RequestFingerprint& request, const Suspect& suspect, TimePoint now);
   /// @return ends that count against it: since it was served last.
-  std::size_t countOf(const Suspect& suspect) const;
-  std::size_t countOf(const RequestFingerprint& request) const;
+  std::size_t countedCrashes(const Suspect& suspect) const;
+  std::size_t countedCrashes(const RequestFingerprint& request) const;
   /// @return ends that counted against it at that time.
-  std::size_t countAt(const RequestFingerprint& request, TimePoint time) const;
+  std::size_t countedCrashesAt(const RequestFingerprint& request, TimePoint time) const;
   /// @return whether that end proves it of the request, with the ends before.
-  bool proves(const End& end, const RequestFingerprint& request) const;
+  bool implicates(const Crash& crash, const RequestFingerprint& request) const;
   /// What is judged depends on the ends and on what was served alone, not on the order of the news.
-  void judge(const RequestFingerprint& request, Suspect& suspect);
+  void reevaluate(const RequestFingerprint& request, Suspect& suspect);
   /// Judges anew what a change to the request's ends can bear on: all that were unanswered at one of them.
-  void judgeAllBeside(const RequestFingerprint& request);
+  void reevaluateAffected(const RequestFingerprint& request);
   /// @return all ends at which the request was unanswered.
-  void addEndsOf(const RequestFingerprint& request, TimePoint now, std::map<ServerEndId, ServerEnd>& found) const;
-  ServerEnd copyOf(const Ends::value_type& end, TimePoint now) const;
-  void setUntil(Suspect& suspect, TimePoint proved, TimePoint recorded);
+  void collectCrashes(const RequestFingerprint& request, TimePoint now, std::map<ServerEndId, ServerEnd>& found) const;
+  ServerEnd toMessage(const Crashes::value_type& crash, TimePoint now) const;
+  void setQuarantineEnd(Suspect& suspect, TimePoint proved, TimePoint recorded);
 
   QuarantineConfig config_;
-  Ends ends_;
+  Crashes crashes_;
   std::unordered_map<RequestFingerprint, Suspect> suspects_;
-  std::size_t quarantined_ = 0;
+  std::size_t quarantined_count_ = 0;
 };
 
 }  // namespace shedlever
--- a/source/core/router/quarantine/unanswered_requests.h
+++ b/source/core/router/quarantine/unanswered_requests.h
@@ -19,40 +19,40 @@
 class UnansweredRequests {
  public:
   /// Names one send of a request to the server.
-  using Number = std::uint64_t;
+  using SendId = std::uint64_t;
 
   /// The request was sent to the server.
-  void begun(Number number, const RequestFingerprint& request);
+  void onSent(SendId id, const RequestFingerprint& request);
   /// The server has answered it whole: it has run it, well or not, or says that it has not.
   /// @param ran_well whether it has run it to a good end.
-  void answered(Number number, bool ran_well, TimePoint now);
+  void onAnswered(SendId id, bool ran_well, TimePoint now);
   /// It did not reach this life of the server.
-  void notReached(Number number) { running_.erase(number); }
+  void onNotReached(SendId id) { running_.erase(id); }
   /// Its connection broke, or what came was no answer.
-  void broken(Number number, TimePoint now);
+  void onConnectionLost(SendId id, TimePoint now);
   /// It was taken back, or its time is over: the server may work on it for a moment longer.
-  void abandoned(Number number, TimePoint now);
+  void onAbandoned(SendId id, TimePoint now);
 
   /// This life is over; the next one begins with nothing.
   /// @return each request once that it may have been at work on, without those that it had run well before: a request
   ///   that ends servers is never answered, while one that all ask for in the same words nearly always was.
-  std::vector<RequestFingerprint> takeAtEnd();
+  std::vector<RequestFingerprint> takeOnCrash();
 
   /// This life's end is no secret: nothing follows from it.
   void clear();
 
  private:
-  struct Lost {
+  struct LostRequest {
     RequestFingerprint request;
     /// The server may have been at work on it until then.
-    TimePoint until{};
+    TimePoint may_run_until{};
   };
 
-  void lose(Number number, TimePoint until);
-  void noteServed(const RequestFingerprint& request);
+  void moveToLost(SendId id, TimePoint until);
+  void recordServed(const RequestFingerprint& request);
 
-  std::unordered_map<Number, RequestFingerprint> running_;
-  std::deque<Lost> lost_;
+  std::unordered_map<SendId, RequestFingerprint> running_;
+  std::deque<LostRequest> lost_;
   /// The last ones that were answered, oldest first.
   std::deque<RequestFingerprint> served_order_;
   std::unordered_set<RequestFingerprint> served_;
--- a/source/core/router/request_ids.cc
+++ b/source/core/router/request_ids.cc
@@ -10,12 +10,12 @@
 
 constexpr int kBase = 16;
 constexpr std::string_view kDigits = "0123456789abcdef";
-constexpr std::size_t kLongestSequence = 16;
+constexpr std::size_t kMaxSequenceDigits = 16;
 constexpr char kEscape = '~';
 constexpr char kSeparator = '-';
 
 void appendHex(std::string& text, std::uint64_t number) {
-  std::array<char, kLongestSequence> digits{};
+  std::array<char, kMaxSequenceDigits> digits{};
   const std::to_chars_result end = std::to_chars(digits.data(), digits.data() + digits.size(), number, kBase);
   text.append(digits.data(), end.ptr);
 }
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-RequestIds::RequestIds(const NodeIdentity& self) {
+RequestIdGenerator::RequestIdGenerator(const NodeIdentity& self) {
   for (const char letter : self.name.value) {
     if (isPlain(letter)) {
       prefix_.push_back(letter);
@@ -44,15 +44,15 @@
   prefix_.push_back(kSeparator);
 }
 
-RequestId RequestIds::idOf(RequestSequence sequence) const {
+RequestId RequestIdGenerator::idOf(RequestSequence sequence) const {
   std::string text;
-  text.reserve(prefix_.size() + kLongestSequence);
+  text.reserve(prefix_.size() + kMaxSequenceDigits);
   text = prefix_;
   appendHex(text, sequence);
   return RequestId(std::move(text));
 }
 
-std::optional<RequestSequence> RequestIds::sequenceOf(const RequestId& id) const {
+std::optional<RequestSequence> RequestIdGenerator::sequenceOf(const RequestId& id) const {
   const std::string_view text = id.value;
   if (!text.starts_with(prefix_)) {
     return std::nullopt;
--- a/source/core/router/request_ids.h
+++ b/source/core/router/request_ids.h
@@ -14,9 +14,9 @@
 /// Number of a request among those of this gateway's life; the key of all tables in the gateway.
 using RequestSequence = std::uint64_t;
 
-class RequestIds {
+class RequestIdGenerator {
  public:
-  explicit RequestIds(const NodeIdentity& self);
+  explicit RequestIdGenerator(const NodeIdentity& self);
 
   /// @return the next sequence, starting with 1.
   RequestSequence next() { return ++last_; }
--- a/source/core/router/retry_backoff.h
+++ b/source/core/router/retry_backoff.h
@@ -13,19 +13,19 @@
 /// costs as much when it is refused, and one that is refused to a node often goes on being refused for seconds.
 class RetryBackoff {
  public:
-  RetryBackoff(Duration first, Duration most) : first_(first), most_(most) {}
+  RetryBackoff(Duration initial_delay, Duration max_delay) : initial_delay_(initial_delay), max_delay_(max_delay) {}
 
   /// @return delay before the next try.
   Duration onFailure() {
-    delay_ = delay_ == Duration::zero() ? first_ : std::min(delay_ * 2, most_);
+    delay_ = delay_ == Duration::zero() ? initial_delay_ : std::min(delay_ * 2, max_delay_);
     return delay_;
   }
 
   void onSuccess() { delay_ = Duration::zero(); }
 
  private:
-  Duration first_;
-  Duration most_;
+  Duration initial_delay_;
+  Duration max_delay_;
   /// Of the last failure; zero after a success.
   Duration delay_{};
 };
--- a/source/core/router/retry_policy.h
+++ b/source/core/router/retry_policy.h
@@ -11,7 +11,7 @@
 
 namespace shedlever {
 
-enum class NextStep : std::uint8_t {
+enum class RetryDecision : std::uint8_t {
   Answer,      ///< pass the server's answer on
   TryAnother,  ///< send it to another server, or again to the key's owner
   AwaitOwner,  ///< the key is changing hands: send it to its owner once that is settled
@@ -23,11 +23,11 @@
 struct AttemptState {
   const Route* route = nullptr;
   ServiceName service;
-  bool keyed = false;
+  bool has_key = false;
   /// Servers that the request has reached.
-  std::uint32_t reached = 0;
+  std::uint32_t servers_reached = 0;
   /// What is left of its time.
-  Duration remaining{};
+  Duration remaining_time{};
 };
 
 /// Spends from the budget only for what has reached a server before.
@@ -35,11 +35,11 @@
  public:
   explicit RetryPolicy(SharedRetryBudget& budget) : budget_(budget) {}
 
-  NextStep decide(const AttemptState& attempt, const ForwardReplyFrame& reply);
+  RetryDecision decide(const AttemptState& attempt, const ForwardReplyFrame& reply);
 
  private:
-  NextStep afterNotRun(const AttemptState& attempt, const ForwardReplyFrame& reply);
-  bool mayRepeatNow(const AttemptState& attempt);
+  RetryDecision afterNotRun(const AttemptState& attempt, const ForwardReplyFrame& reply);
+  bool mayRetryNow(const AttemptState& attempt);
 
   SharedRetryBudget& budget_;
 };
--- a/source/core/router/service_times.h
+++ b/source/core/router/service_times.h
@@ -12,23 +12,23 @@
 
 /// Smoothed mean and mean deviation, as TCP keeps them for its round trips: of times that vary by half of their mean,
 /// some four of five are below the sum of the two.
-class ServiceTimes {
+class DurationEstimator {
  public:
-  void note(const std::string& route, Duration time);
+  void record(const std::string& route, Duration time);
 
   /// @return time within which most requests of the route end; `otherwise` when none has ended yet.
   Duration expected(const std::string& route, Duration otherwise) const;
 
   /// Another server runs here now.
-  void reset() { times_.clear(); }
+  void reset() { estimates_.clear(); }
 
  private:
-  struct Smoothed {
+  struct Estimate {
     Duration mean{};
     Duration deviation{};
   };
 
-  std::map<std::string, Smoothed, std::less<>> times_;
+  std::map<std::string, Estimate, std::less<>> estimates_;
 };
 
 }  // namespace shedlever
--- a/source/core/router/shared_retry_budget.cc
+++ b/source/core/router/shared_retry_budget.cc
@@ -7,7 +7,7 @@
 namespace {
 
 /// Even where the slack is shared by very many processes, one repeat must fit into a bucket.
-constexpr double kSmallestCapacity = 1.0;
+constexpr double kMinCapacity = 1.0;
 
 }  // namespace
 
@@ -17,8 +17,8 @@
 }
 
 double SharedRetryBudget::capacity(const ServiceName& service) const {
-  const double part = configOf(service).slack / static_cast<double>(std::max<std::size_t>(processes_, 1));
-  return std::max(part, kSmallestCapacity);
+  const double part = configOf(service).slack / static_cast<double>(std::max<std::size_t>(process_count_, 1));
+  return std::max(part, kMinCapacity);
 }
 
 double& SharedRetryBudget::bucketOf(const ServiceName& service) {
@@ -30,7 +30,7 @@
   bucket = std::min(bucket + configOf(service).ratio, capacity(service));
 }
 
-bool SharedRetryBudget::spend(const ServiceName& service) {
+bool SharedRetryBudget::trySpend(const ServiceName& service) {
   double& bucket = bucketOf(service);
   if (bucket < 1.0) {
     return false;
--- a/source/core/router/shared_retry_budget.h
+++ b/source/core/router/shared_retry_budget.h
@@ -31,14 +31,14 @@
   void setServiceConfig(const ServiceName& service, const RetryBudgetConfig& config) { configs_[service] = config; }
 
   /// @param processes how many share the slack.
-  void setProcesses(std::size_t processes) { processes_ = processes; }
+  void setProcessCount(std::size_t process_count) { process_count_ = process_count; }
 
   /// A request for the service begins.
   void onRequest(const ServiceName& service);
 
   /// Takes one repeat from the budget.
   /// @return false when there is none left; nothing was taken.
-  bool spend(const ServiceName& service);
+  bool trySpend(const ServiceName& service);
 
  private:
   const RetryBudgetConfig& configOf(const ServiceName& service) const;
@@ -47,7 +47,7 @@
 
   RetryBudgetConfig config_;
   std::map<ServiceName, RetryBudgetConfig> configs_;
-  std::size_t processes_ = 1;
+  std::size_t process_count_ = 1;
   std::map<ServiceName, double> buckets_;
 };
 
--- a/source/core/router/split_picker.cc
+++ b/source/core/router/split_picker.cc
@@ -8,7 +8,7 @@
 namespace {
 
 /// Steps that a new round may be advanced by.
-constexpr std::size_t kLongestOffset = 100;
+constexpr std::size_t kMaxOffsetSteps = 100;
 
 std::vector<std::uint32_t> weightsOf(const Route& route) {
   std::vector<std::uint32_t> weights;
@@ -20,34 +20,34 @@
 
 }  // namespace
 
-std::size_t SplitPicker::next(Round& round) {
-  const std::int64_t total = std::accumulate(round.weights.begin(), round.weights.end(), std::int64_t{0});
-  for (std::size_t i = 0; i < round.weights.size(); ++i) {
-    round.credit[i] += round.weights[i];
+std::size_t TrafficSplitter::advance(RoundRobinState& state) {
+  const std::int64_t total = std::accumulate(state.weights.begin(), state.weights.end(), std::int64_t{0});
+  for (std::size_t i = 0; i < state.weights.size(); ++i) {
+    state.credit[i] += state.weights[i];
   }
-  const auto best = std::max_element(round.credit.begin(), round.credit.end());
+  const auto best = std::max_element(state.credit.begin(), state.credit.end());
   *best -= total;
-  return static_cast<std::size_t>(best - round.credit.begin());
+  return static_cast<std::size_t>(best - state.credit.begin());
 }
 
-SplitPicker::Round& SplitPicker::roundOf(const Route& route) {
-  Round& round = rounds_[route.name];
+TrafficSplitter::RoundRobinState& TrafficSplitter::stateOf(const Route& route) {
+  RoundRobinState& state = states_[route.name];
   std::vector<std::uint32_t> weights = weightsOf(route);
-  if (round.weights != weights) {
-    round.weights = std::move(weights);
-    round.credit.assign(round.weights.size(), 0);
-    for (std::size_t i = 0; i < offset_ % kLongestOffset; ++i) {
-      next(round);
+  if (state.weights != weights) {
+    state.weights = std::move(weights);
+    state.credit.assign(state.weights.size(), 0);
+    for (std::size_t i = 0; i < offset_ % kMaxOffsetSteps; ++i) {
+      advance(state);
     }
   }
-  return round;
+  return state;
 }
 
-const ServiceName& SplitPicker::pick(const Route& route) {
+const ServiceName& TrafficSplitter::pick(const Route& route) {
   if (route.shares.size() == 1) {
     return route.shares.front().service;
   }
-  return route.shares[next(roundOf(route))].service;
+  return route.shares[advance(stateOf(route))].service;
 }
 
 }  // namespace shedlever
--- a/source/core/router/tenant_turns.cc
+++ b/source/core/router/tenant_turns.cc
@@ -4,21 +4,21 @@
 
 namespace shedlever {
 
-double TenantTurns::peek(const TenantShare& tenant) const {
-  const auto next = next_.find(tenant.name);
-  return next == next_.end() ? now_ : std::max(now_, next->second);
+double TenantFairScheduler::nextStartTag(const TenantShare& tenant) const {
+  const auto next = next_start_tags_.find(tenant.name);
+  return next == next_start_tags_.end() ? virtual_time_ : std::max(virtual_time_, next->second);
 }
 
-void TenantTurns::take(const TenantShare& tenant) {
+void TenantFairScheduler::onQueued(const TenantShare& tenant) {
   const double weight = std::max(1U, tenant.weight);
-  next_[tenant.name] = peek(tenant) + 1.0 / weight;
+  next_start_tags_[tenant.name] = nextStartTag(tenant) + 1.0 / weight;
 }
 
-void TenantTurns::onServed(double turn) { now_ = std::max(now_, turn); }
+void TenantFairScheduler::onServed(double start_tag) { virtual_time_ = std::max(virtual_time_, start_tag); }
 
-void TenantTurns::reset() {
-  now_ = 0;
-  next_.clear();
+void TenantFairScheduler::reset() {
+  virtual_time_ = 0;
+  next_start_tags_.clear();
 }
 
 }  // namespace shedlever
--- a/source/core/router/tenant_turns.h
+++ b/source/core/router/tenant_turns.h
@@ -11,25 +11,25 @@
 namespace shedlever {
 
 /// While several tenants have requests waiting, each is served in proportion to its weight, however many it sends.
-class TenantTurns {
+class TenantFairScheduler {
  public:
   /// @return the turn that the tenant's next request would get; lower ones are served first.
-  double peek(const TenantShare& tenant) const;
+  double nextStartTag(const TenantShare& tenant) const;
 
   /// The tenant's next request waits with that turn.
-  void take(const TenantShare& tenant);
+  void onQueued(const TenantShare& tenant);
 
   /// A request with that turn is served.
-  void onServed(double turn);
+  void onServed(double start_tag);
 
   /// Nothing waits any more: no tenant is ahead of another.
   void reset();
 
  private:
   /// Turn of the request served last.
-  double now_ = 0;
+  double virtual_time_ = 0;
   /// Where each tenant's next request stands at the earliest.
-  std::map<TenantName, double> next_;
+  std::map<TenantName, double> next_start_tags_;
 };
 
 }  // namespace shedlever
--- a/source/net/link_pacer.cc
+++ b/source/net/link_pacer.cc
@@ -22,7 +22,7 @@
 LinkPacer::~LinkPacer() { loop_.cancel(timer_); }
 
 std::size_t LinkPacer::pieceSize() const {
-  if (!budget_.limited()) {
+  if (!budget_.isLimited()) {
     return std::numeric_limits<std::size_t>::max();
   }
   const double bytes = config_.bytes_per_second * static_cast<double>(kPieceTime.count()) / kMicrosecondsPerSecond;
@@ -30,7 +30,7 @@
 }
 
 void LinkPacer::note(std::size_t bytes) {
-  if (budget_.limited()) {
+  if (budget_.isLimited()) {
     budget_.spend(bytes, clock_.now());
   }
 }
@@ -60,7 +60,7 @@
   running_ = true;
   Duration wait{};
   while (!transfers_.empty()) {
-    wait = budget_.untilOpen(clock_.now());
+    wait = budget_.timeUntilAvailable(clock_.now());
     if (wait > Duration::zero()) {
       break;
     }
--- a/source/net/link_pacer.h
+++ b/source/net/link_pacer.h
@@ -45,10 +45,12 @@
   /// @return bytes of paced messages that are not written yet.
   std::size_t backlog() const { return backlog_; }
 
-  bool limited() const { return budget_.limited(); }
+  bool limited() const { return budget_.isLimited(); }
 
   /// @return how long the link takes for the backlog and so many bytes more.
-  Duration waitFor(double more_bytes) const { return budget_.timeFor(static_cast<double>(backlog_) + more_bytes); }
+  Duration waitFor(double more_bytes) const {
+    return budget_.transmissionTime(static_cast<double>(backlog_) + more_bytes);
+  }
 
  private:
   struct Transfer {
--- a/source/router/cluster_knowledge.cc
+++ b/source/router/cluster_knowledge.cc
@@ -54,10 +54,10 @@
   return {std::move(on_object), std::move(on_listed),
           [&log, part](bool available) { log.write(part, available ? "watch-regained" : "watch-lost", {}); },
           [&log, part](ListCause cause, Duration staleness) {
-            log.write(part, "list-anew", {{"cause", toString(cause)}, {"stale_ms", millisecondsText(staleness)}});
+            log.write(part, "list-anew", {{"cause", toString(cause)}, {"stale_ms", formatMilliseconds(staleness)}});
           },
           [&log, part](Duration staleness) {
-            log.write(part, "missed-by-watch", {{"stale_ms", millisecondsText(staleness)}});
+            log.write(part, "missed-by-watch", {{"stale_ms", formatMilliseconds(staleness)}});
           }};
 }
 
@@ -81,7 +81,7 @@
                         *ports_.log, "membership",
                         [this](const MetadataObject& object, bool deleted) { onSharedObject(object, deleted); },
                         [this] { onNodesListed(); })),
-      table_poller_(*ports_.loop, *ports_.clock, *ports_.store, kTableKind, ListTimes{}, pollerEvents()),
+      table_poller_(*ports_.loop, *ports_.clock, *ports_.store, kTableKind, ListIntervals{}, pollerEvents()),
       started_(ports_.clock->now()) {
   followEvacuations();
 }
--- a/source/router/gate_recorder.cc
+++ b/source/router/gate_recorder.cc
@@ -28,11 +28,11 @@
               {"queued", std::to_string(inputs.load.queued)},
               {"slots", std::to_string(inputs.load.slots)},
               {"link_ms", std::to_string(inputs.load.link_ms)},
-              {"retry_after_ms", millisecondsText(retry_after)},
-              {"longest_wait_ms", millisecondsText(inputs.longest_wait)},
+              {"retry_after_ms", formatMilliseconds(retry_after)},
+              {"longest_wait_ms", formatMilliseconds(inputs.longest_wait)},
               {"table", inputs.table.none() ? "-" : toString(inputs.table)},
-              {"lease_left_ms", frame.keyed ? millisecondsText(inputs.lease_left) : "-"},
-              {"left_ms", millisecondsText(Duration(frame.remaining_us))}});
+              {"lease_left_ms", frame.keyed ? formatMilliseconds(inputs.lease_left) : "-"},
+              {"left_ms", formatMilliseconds(Duration(frame.remaining_us))}});
 }
 
 void GateRecorder::ended(const ForwardFrame& frame, const RequestFingerprint& fingerprint, const ServerResult& result,
@@ -48,8 +48,8 @@
               {"key", keyOf(frame)},
               {"instance", frame.instance.value},
               {"fingerprint", toString(fingerprint)},
-              {"queued_ms", millisecondsText(queued)},
-              {"ran_ms", millisecondsText(ran)}});
+              {"queued_ms", formatMilliseconds(queued)},
+              {"ran_ms", formatMilliseconds(ran)}});
 }
 
 }  // namespace shedlever
--- a/source/router/gateway.cc
+++ b/source/router/gateway.cc
@@ -111,7 +111,7 @@
     return false;
   }
   const RequestFingerprint fingerprint = fingerprintOf(requests_.at(number).http);
-  const std::optional<Duration> left = ports_.quarantine->timeLeft(fingerprint, ports_.clock->now());
+  const std::optional<Duration> left = ports_.quarantine->remainingTime(fingerprint, ports_.clock->now());
   if (left) {
     refuse(number, ForwardReason::Quarantined, *left);
   }
@@ -122,11 +122,11 @@
   Request& request = requests_.at(number);
   request.claiming = true;
   const ClaimKey key{request.service, request.info.tenant.name, request.info.idempotency_key};
-  request.claim = ports_.claims->begin(key, request.id, request.deadline,
-                                       [this, number](const ClaimAnswer& answer) { onClaim(number, answer); });
+  request.claim = ports_.claims->acquire(key, request.id, request.deadline,
+                                         [this, number](const ClaimResult& answer) { onClaim(number, answer); });
 }
 
-void Gateway::onClaim(RequestNumber number, ClaimAnswer answer) {
+void Gateway::onClaim(RequestNumber number, ClaimResult answer) {
   const auto found = requests_.find(number);
   if (found == requests_.end()) {
     return;
@@ -143,8 +143,8 @@
       return;
     case ClaimVerdict::Recorded:
       // The answer is the earlier request's; the id is this one's.
-      ports_.protocol->complete(answer.recorded, request.id);
-      finish(number, std::move(answer.recorded), "recorded", ClaimEnd::NotRun);
+      ports_.protocol->complete(answer.recorded_response, request.id);
+      finish(number, std::move(answer.recorded_response), "recorded", ClaimOutcome::NotRun);
       return;
     case ClaimVerdict::InProgress:
       refuseFor(number, Reason::DuplicateInProgress, kClaimRetryAfter);
@@ -239,7 +239,7 @@
   ports_.directory->onEnded(request.attempt.node);
   ports_.directory->onReply(request.attempt.node, request.route->name, reply, now);
   if (reply.outcome == ForwardOutcome::Answered) {
-    service_times_.note(request.route->name, Duration(reply.service_us));
+    service_times_.record(request.route->name, Duration(reply.service_us));
   }
   ports_.on_known(request.attempt.node, request.service, reply.known);
   if (!reply.hint.revision.none()) {
@@ -252,13 +252,13 @@
     request.unknown_reason = reply.reason;
   }
   const AttemptState state{request.route, request.service, request.keyed, request.reached, request.deadline - now};
-  const NextStep step = policy_.decide(state, reply);
+  const RetryDecision step = policy_.decide(state, reply);
   request.last_reason = reply.reason;
   switch (step) {
-    case NextStep::Answer:
+    case RetryDecision::Answer:
       answer(number, std::move(reply.http));
       return;
-    case NextStep::TryAnother:
+    case RetryDecision::TryAnother:
       recorder_.attemptEnded(request, reply, step, inputsOf(request));
       if (reply.outcome == ForwardOutcome::Answered) {
         request.earlier_answer = std::move(reply.http);
@@ -266,7 +266,7 @@
       request.tried.insert(request.attempt.instance);
       dispatch(number);
       return;
-    case NextStep::AwaitOwner:
+    case RetryDecision::AwaitOwner:
       recorder_.attemptEnded(request, reply, step, inputsOf(request));
       if (!reply.hint.revision.none()) {
         dispatch(number);
@@ -274,10 +274,10 @@
         park(number);
       }
       return;
-    case NextStep::Refuse:
+    case RetryDecision::Refuse:
       refuse(number, reply.reason, Duration(reply.retry_after_us));
       return;
-    case NextStep::Fail:
+    case RetryDecision::Fail:
       fail(number, reply.reason);
       return;
   }
@@ -318,7 +318,7 @@
 
 void Gateway::noteParked(Request& request, TimePoint now) {
   if (request.parked_since != TimePoint{}) {
-    absences_.note(request.service.value, now - std::exchange(request.parked_since, TimePoint{}));
+    absences_.record(request.service.value, now - std::exchange(request.parked_since, TimePoint{}));
     absence_noted_at_ = now;
   }
 }
@@ -365,7 +365,7 @@
   // Who comes back before a quarantine is over is refused again: it is told the whole time, also beyond its deadline.
   const Duration told = reason == Reason::Quarantined ? retry_after : spread(retry_after, time_left);
   const Refusal refusal{request.id, Outcome::NotRun, reason, told};
-  finish(number, ports_.protocol->refusal(refusal), "refused", ClaimEnd::NotRun);
+  finish(number, ports_.protocol->refusal(refusal), "refused", ClaimOutcome::NotRun);
 }
 
 bool Gateway::endAsRun(RequestNumber number) {
@@ -379,7 +379,7 @@
 
 void Gateway::answer(RequestNumber number, HttpResponse response) {
   ports_.protocol->complete(response, requests_.at(number).id);
-  finish(number, std::move(response), "answered", ClaimEnd::Answered);
+  finish(number, std::move(response), "answered", ClaimOutcome::Answered);
 }
 
 void Gateway::fail(RequestNumber number, ForwardReason reason) {
@@ -390,7 +390,7 @@
     return;
   }
   const Refusal refusal{request.id, Outcome::Unknown, reasonOf(reason), {}};
-  finish(number, ports_.protocol->refusal(refusal), "failed", ClaimEnd::Unknown);
+  finish(number, ports_.protocol->refusal(refusal), "failed", ClaimOutcome::Unknown);
 }
 
 void Gateway::onDeadline(RequestNumber number) {
@@ -437,10 +437,10 @@
   request.last_reason = ForwardReason::Cancelled;
   const bool never_sent = request.attempts == 0;
   cancelAttempt(request);
-  finish(number, {}, "client-gone", never_sent ? ClaimEnd::NotRun : ClaimEnd::Unknown);
+  finish(number, {}, "client-gone", never_sent ? ClaimOutcome::NotRun : ClaimOutcome::Unknown);
 }
 
-void Gateway::finish(RequestNumber number, HttpResponse response, const char* outcome, ClaimEnd claim_end) {
+void Gateway::finish(RequestNumber number, HttpResponse response, const char* outcome, ClaimOutcome claim_end) {
   auto node = requests_.extract(number);
   Request& request = node.mapped();
   if (request.claim != 0) {
--- a/source/router/gateway.h
+++ b/source/router/gateway.h
@@ -29,7 +29,7 @@
   RandomSource* random = nullptr;
   const ClientProtocol* protocol = nullptr;
   /// Null where no route needs idempotency keys.
-  ClaimKeeper* claims = nullptr;
+  ClaimManager* claims = nullptr;
   ServerDirectory* directory = nullptr;
   const CrashQuarantine* quarantine = nullptr;
   ServerGate* gate = nullptr;
@@ -56,7 +56,7 @@
   void setConfig(std::shared_ptr<const RouteTable> routes);
   /// For services whose own settings give no budget.
   void setRetryBudget(const RetryBudgetConfig& budget) { budget_.setConfig(budget); }
-  void setProcesses(std::size_t processes) { budget_.setProcesses(processes); }
+  void setProcesses(std::size_t processes) { budget_.setProcessCount(processes); }
 
   /// A request has arrived whole.
   void handle(HttpRequest http, const HttpReplier& replier);
@@ -79,7 +79,7 @@
 
   void refuseAtOnce(const HttpRequest& http, const HttpReplier& replier, const Refusal& refusal);
   void claim(RequestNumber number);
-  void onClaim(RequestNumber number, ClaimAnswer answer);
+  void onClaim(RequestNumber number, ClaimResult answer);
   void dispatch(RequestNumber number);
   /// Refuses a request that is kept from all servers. @return whether it is.
   bool refuseQuarantined(RequestNumber number);
@@ -101,27 +101,27 @@
   void onDeadline(RequestNumber number);
   void onClientGone(RequestNumber number);
   void cancelAttempt(Request& request);
-  void finish(RequestNumber number, HttpResponse response, const char* outcome, ClaimEnd claim_end);
+  void finish(RequestNumber number, HttpResponse response, const char* outcome, ClaimOutcome claim_end);
   /// What is known now of the server that the last attempt went to.
   AttemptInputs inputsOf(const Request& request) const;
   /// @return when to come back: some time after `wanted`, so that not all come at once.
   Duration spread(Duration wanted, Duration remaining);
 
   NodeName self_;
-  RequestIds ids_;
+  RequestIdGenerator ids_;
   ServiceName own_service_;
   GatewayDependencies ports_;
   GatewayRecorder recorder_;
   SharedRetryBudget budget_;
   RetryPolicy policy_;
-  SplitPicker splits_;
+  TrafficSplitter splits_;
   std::shared_ptr<const RouteTable> routes_;
   bool refusing_ = false;
   TimePoint last_request_at_{};
   /// Of all servers, by route.
-  ServiceTimes service_times_;
+  DurationEstimator service_times_;
   /// How long requests waited for their key's owner, by service; noted last at that time.
-  ServiceTimes absences_;
+  DurationEstimator absences_;
   TimePoint absence_noted_at_{};
   RequestNumber last_number_ = 0;
   std::map<RequestNumber, Request> requests_;
--- a/source/router/gateway_recorder.cc
+++ b/source/router/gateway_recorder.cc
@@ -11,17 +11,17 @@
 
 std::string orDash(const std::string& value) { return value.empty() ? "-" : value; }
 
-const char* wordOf(NextStep step) {
+const char* wordOf(RetryDecision step) {
   switch (step) {
-    case NextStep::Answer:
+    case RetryDecision::Answer:
       return "answer";
-    case NextStep::TryAnother:
+    case RetryDecision::TryAnother:
       return "try-another";
-    case NextStep::AwaitOwner:
+    case RetryDecision::AwaitOwner:
       return "await-owner";
-    case NextStep::Refuse:
+    case RetryDecision::Refuse:
       return "refuse";
-    case NextStep::Fail:
+    case RetryDecision::Fail:
       return "fail";
   }
   return "unknown";
@@ -43,7 +43,7 @@
               {"config", std::to_string(version)}});
 }
 
-void GatewayRecorder::attemptEnded(const GatewayRequest& request, const ForwardReplyFrame& reply, NextStep next,
+void GatewayRecorder::attemptEnded(const GatewayRequest& request, const ForwardReplyFrame& reply, RetryDecision next,
                                    const AttemptInputs& inputs) {
   metrics_.onRetry(reply.reason);
   if (!log_.mayWriteAttempt()) {
@@ -59,11 +59,11 @@
               {"node", orDash(request.attempt.node.value)},
               {"instance", orDash(request.attempt.instance.value)},
               {"occupancy", std::to_string(inputs.occupancy)},
-              {"load_age_ms", inputs.load_age == Duration::max() ? "-" : millisecondsText(inputs.load_age)},
+              {"load_age_ms", inputs.load_age == Duration::max() ? "-" : formatMilliseconds(inputs.load_age)},
               {"table", inputs.table.none() ? "-" : toString(inputs.table)},
               {"hint", toString(reply.hint.revision)},
-              {"held_ms", millisecondsText(now - request.arrived)},
-              {"left_ms", millisecondsText(request.deadline - now)}});
+              {"held_ms", formatMilliseconds(now - request.arrived)},
+              {"left_ms", formatMilliseconds(request.deadline - now)}});
 }
 
 void GatewayRecorder::ended(const GatewayRequest& request, int status, std::string_view outcome) {
@@ -86,9 +86,9 @@
               {"reason", toString(request.last_reason)},
               {"attempts", std::to_string(request.attempts)},
               {"reached", std::to_string(request.reached)},
-              {"held_ms", millisecondsText(held)},
-              {"target_ms", millisecondsText(request.route->target_latency)},
-              {"left_ms", millisecondsText(request.deadline - now)}});
+              {"held_ms", formatMilliseconds(held)},
+              {"target_ms", formatMilliseconds(request.route->target_latency)},
+              {"left_ms", formatMilliseconds(request.deadline - now)}});
 }
 
 }  // namespace shedlever
--- a/source/router/gateway_recorder.h
+++ b/source/router/gateway_recorder.h
@@ -35,7 +35,7 @@
 
   /// An attempt has come back without ending the request.
   /// @param inputs that chose its server.
-  void attemptEnded(const GatewayRequest& request, const ForwardReplyFrame& reply, NextStep next,
+  void attemptEnded(const GatewayRequest& request, const ForwardReplyFrame& reply, RetryDecision next,
                     const AttemptInputs& inputs);
 
   /// The request has had its final answer.
--- a/source/router/gateway_request.h
+++ b/source/router/gateway_request.h
@@ -37,7 +37,7 @@
   RequestId id;
   ClientRequestInfo info;
   /// Its claim of an idempotency key; 0 for none.
-  ClaimNumber claim = 0;
+  ClaimHandle claim = 0;
   /// Waits for its claim to be decided.
   bool claiming = false;
   bool keyed = false;
--- a/source/router/kind_poller.cc
+++ b/source/router/kind_poller.cc
@@ -6,7 +6,7 @@
 namespace shedlever {
 
 KindPoller::KindPoller(EventLoop& loop, const Clock& clock, MetadataStore& store, std::string kind,
-                       const ListTimes& times, Events events)
+                       const ListIntervals& times, Events events)
     : loop_(loop), clock_(clock), store_(store), kind_(std::move(kind)), events_(std::move(events)), schedule_(times) {}
 
 KindPoller::~KindPoller() {
@@ -23,7 +23,7 @@
   if (in_flight_) {
     return;
   }
-  const TimePoint due = schedule_.due(need());
+  const TimePoint due = schedule_.dueAt(need());
   if (timer_ != 0 && timer_due_ == due) {
     return;
   }
--- a/source/router/kind_poller.h
+++ b/source/router/kind_poller.h
@@ -29,7 +29,7 @@
     std::function<ListNeed()> need;
   };
 
-  KindPoller(EventLoop& loop, const Clock& clock, MetadataStore& store, std::string kind, const ListTimes& times,
+  KindPoller(EventLoop& loop, const Clock& clock, MetadataStore& store, std::string kind, const ListIntervals& times,
              Events events);
   ~KindPoller();
   KindPoller(const KindPoller&) = delete;
--- a/source/router/quarantine_coordinator.cc
+++ b/source/router/quarantine_coordinator.cc
@@ -48,7 +48,7 @@
                      {"unanswered", std::to_string(unanswered.size())},
                      {"fingerprints", textOf(unanswered)}});
   const ServerEndId id{instance, wallClockMicroseconds()};
-  const ServerEndsFrame news = quarantine_.onOwnEnd(id, unanswered, ports_.clock->now());
+  const ServerEndsFrame news = quarantine_.onLocalCrash(id, unanswered, ports_.clock->now());
   if (!news.empty()) {
     ports_.tell_all(news);
   }
@@ -64,7 +64,7 @@
 }
 
 void QuarantineCoordinator::onTold(const ServerEndsFrame& told) {
-  const ServerEndsFrame news = quarantine_.take(told, ports_.clock->now());
+  const ServerEndsFrame news = quarantine_.merge(told, ports_.clock->now());
   if (!news.empty()) {
     ports_.tell_all(news);
   }
@@ -79,14 +79,14 @@
   const TimeOfDay day_now = timeOfDay();
   for (const QuarantinedRequest& one : record.quarantined) {
     const TimeOfDay until = std::chrono::seconds(one.until_s);
-    quarantine_.onRecorded(one.request, now + (until - day_now), own, now);
+    quarantine_.onQuarantineRecord(one.request, now + (until - day_now), own, now);
   }
   noteChanges("record");
 }
 
 std::vector<QuarantinedRequest> QuarantineCoordinator::toRecord() const {
   std::vector<CrashQuarantine::Quarantined> named = quarantine_.quarantined();
-  std::erase_if(named, [](const auto& one) { return !one.recorded_here; });
+  std::erase_if(named, [](const auto& one) { return !one.in_own_record; });
   std::sort(named.begin(), named.end(), [](const auto& left, const auto& right) { return left.until > right.until; });
   named.resize(std::min(named.size(), kMostRecorded));
   const TimePoint now = ports_.clock->now();
@@ -107,7 +107,7 @@
     return;
   }
   next_forgetting_ = now + kForgettingInterval;
-  if (quarantine_.forget(now)) {
+  if (quarantine_.removeExpired(now)) {
     noteChanges("time-over");
   }
 }
@@ -122,7 +122,7 @@
     if (!std::binary_search(noted_.begin(), noted_.end(), one.request)) {
       ports_.metrics->onEvent("request-quarantined");
       ports_.log->write("quarantine", "begins",
-                        {{"fingerprint", toString(one.request)}, {"ends", textOf(one.ends)}, {"cause", cause}});
+                        {{"fingerprint", toString(one.request)}, {"ends", textOf(one.crashes)}, {"cause", cause}});
     }
   }
   for (const RequestFingerprint& before : noted_) {
--- a/source/router/router_process.cc
+++ b/source/router/router_process.cc
@@ -313,9 +313,9 @@
              {{"told", std::to_string(keys ? keys->ranges.size() : 0)},
               {"reported", std::to_string(report.held.size())},
               {"released", std::to_string(report.released.size())},
-              {"hold_ms", keys ? millisecondsText(keys->hold) : "-"},
+              {"hold_ms", keys ? formatMilliseconds(keys->hold) : "-"},
               {"table", toString(keeper_->tableWriter().revision())},
-              {"lease_left_ms", millisecondsText(keeper_->leaseUntil() - clock_.now())}});
+              {"lease_left_ms", formatMilliseconds(keeper_->leaseUntil() - clock_.now())}});
 }
 
 void RouterProcess::noteLapse(bool lapsed) {
--- a/source/router/router_process.h
+++ b/source/router/router_process.h
@@ -139,7 +139,7 @@
   ZoneEvacuation evacuation_;
   std::unique_ptr<OwnershipKeeper> keeper_;
   HeartbeatResponder responder_;
-  ClaimKeeper claims_;
+  ClaimManager claims_;
   StatusPages status_pages_;
   std::unique_ptr<Gateway> gateway_;
   std::unique_ptr<PeerServer> peer_server_;
--- a/source/router/router_process_status.cc
+++ b/source/router/router_process_status.cc
@@ -28,7 +28,7 @@
     QuarantineStatus& told = status.quarantined.emplace_back();
     told.fingerprint = toString(one.request);
     told.left = std::max(one.until - clock_.now(), Duration::zero());
-    for (const ServerEndId& end : one.ends) {
+    for (const ServerEndId& end : one.crashes) {
       told.ends.push_back(end.instance);
     }
   }
@@ -64,7 +64,7 @@
   levels.store_reached = store_access_.straightWorks();
   levels.log_lines_dropped = log_.lost();
   levels.quarantined = quarantine_.quarantine().quarantined().size();
-  levels.server_ends = quarantine_.quarantine().rememberedEnds();
+  levels.server_ends = quarantine_.quarantine().crashCount();
   return levels;
 }
 
--- a/source/router/router_settings.cc
+++ b/source/router/router_settings.cc
@@ -161,7 +161,7 @@
   double link_mbps = settings.link.bytes_per_second / kBytesPerMegabit;
   const Section link(document, "link", findings);
   link.read("mbps", link_mbps, 0.0, kMostMbps);
-  link.read("used_share", settings.link.used_share, 0.1, 1.0);
+  link.read("used_share", settings.link.used_fraction, 0.1, 1.0);
   settings.link.bytes_per_second = link_mbps * kBytesPerMegabit;
   const Section queue(document, "queue", findings);
   queue.read("least_wait_limit", settings.queue.least_wait_limit);
@@ -172,11 +172,11 @@
   constexpr Duration kLongest = std::chrono::hours(24);
   constexpr double kMostEnds = 100;
   const Section section(document, "quarantine", findings);
-  double ends = settings.quarantine.ends;
+  double ends = settings.quarantine.crash_threshold;
   section.read("ends", ends, 2.0, kMostEnds);
-  settings.quarantine.ends = static_cast<std::uint32_t>(ends);
-  section.read("time", settings.quarantine.time);
-  if (settings.quarantine.time <= Duration::zero() || settings.quarantine.time > kLongest) {
+  settings.quarantine.crash_threshold = static_cast<std::uint32_t>(ends);
+  section.read("time", settings.quarantine.duration);
+  if (settings.quarantine.duration <= Duration::zero() || settings.quarantine.duration > kLongest) {
     findings.add("quarantine/time", "must be more than 0s and at most 86400s");
   }
 }
--- a/source/router/server_gate.cc
+++ b/source/router/server_gate.cc
@@ -43,7 +43,7 @@
 OfferedWork ServerGate::offeredWork() const {
   OfferedWork work;
   work.slots = queue_.load().slots;
-  work.service_seconds = std::chrono::duration<double>(queue_.meanService()).count();
+  work.service_seconds = std::chrono::duration<double>(queue_.meanServiceTime()).count();
   work.demand = keeper_ == nullptr ? 0.0 : keeper_->requestRate() * work.service_seconds;
   return work;
 }
@@ -100,7 +100,7 @@
     unanswered_.clear();
     return;
   }
-  events_.life_ended(instance_, unanswered_.takeAtEnd());
+  events_.life_ended(instance_, unanswered_.takeOnCrash());
 }
 
 void ServerGate::serverEnded() {
@@ -152,7 +152,7 @@
   if (quarantine_ == nullptr || !quarantine_->isActive()) {
     return std::nullopt;
   }
-  return quarantine_->timeLeft(fingerprintOf(frame.http), clock_.now());
+  return quarantine_->remainingTime(fingerprintOf(frame.http), clock_.now());
 }
 
 void ServerGate::closeKeys() {
@@ -239,8 +239,8 @@
 void ServerGate::hold(QueueTicket ticket, ForwardFrame frame, ForwardCallback done) {
   const TimePoint now = clock_.now();
   const Key range = rangeOf(frame.key);
-  key_waits_.noteWaiting(range, now);
-  const Duration expected = key_waits_.expectedLeft(range, now);
+  key_waits_.onWaiting(range, now);
+  const Duration expected = key_waits_.expectedRemaining(range, now);
   const Duration longest = longestWait(frame);
   if (expected > longest) {
     done(refusal(frame, ForwardReason::NotYetOwner, std::max(expected, kKeyRetryAfter)));
@@ -298,7 +298,7 @@
   }
   const Duration remaining(frame.remaining_us);
   const Duration longest_wait = longestWait(frame);
-  const double expected_bytes = answer_sizes_.expected(frame.kind);
+  const double expected_bytes = answer_sizes_.expectedBytes(frame.kind);
   if (expected_bytes > 0) {
     const Duration link_wait = machine_link_.wait_for(expected_bytes_);
     if (link_wait > longest_wait) {
@@ -307,7 +307,7 @@
     }
   }
   const QueueRank rank{frame.priority, 0, Duration(frame.target_us), now + remaining};
-  const QueueDecision decision = queue_.arrive(ticket, frame.tenant, rank, now, longest_wait);
+  const QueueDecision decision = queue_.admit(ticket, frame.tenant, rank, now, longest_wait);
   if (decision.verdict == QueueVerdict::Refuse || decision.verdict == QueueVerdict::TenantFull) {
     const bool tenant_full = decision.verdict == QueueVerdict::TenantFull;
     done(refusal(frame, tenant_full ? ForwardReason::QueueFull : ForwardReason::Overloaded, decision.predicted_wait));
@@ -326,7 +326,7 @@
 }
 
 Duration ServerGate::longestWait(const ForwardFrame& frame) const {
-  const Duration expected = service_times_.expected(frame.route, queue_.meanService());
+  const Duration expected = service_times_.expected(frame.route, queue_.meanServiceTime());
   const Duration until_caller_leaves = Duration(frame.remaining_us) - expected;
   // What it has waited elsewhere counts.
   const Duration until_late = Duration(frame.target_us) - Duration(frame.held_us) - expected;
@@ -342,14 +342,14 @@
     reason = ForwardReason::Overloaded;
   }
   if (reason != ForwardReason::None) {
-    queue_.ended(std::nullopt);
+    queue_.onRequestEnded(std::nullopt);
     giveBack(ticket, reason, kKeyRetryAfter);
     return;
   }
   entry.running = true;
   entry.started = now;
   entry.fingerprint = fingerprintOf(entry.frame.http);
-  unanswered_.begun(ticket, entry.fingerprint);
+  unanswered_.onSent(ticket, entry.fingerprint);
   ServerRequestHead head{entry.frame.id, instance_, remaining, entry.frame.caller, std::nullopt};
   if (entry.frame.keyed) {
     head.key = entry.frame.key;
@@ -368,7 +368,7 @@
   const TimePoint now = clock_.now();
   const Duration service_time = now - entry.started;
   const bool answered = result.outcome == ForwardOutcome::Answered;
-  queue_.ended(answered ? std::optional<Duration>(service_time) : std::nullopt);
+  queue_.onRequestEnded(answered ? std::optional<Duration>(service_time) : std::nullopt);
   recorder_.ended(entry.frame, entry.fingerprint, result, entry.started - entry.arrived, service_time);
   noteEnd(ticket, entry.fingerprint, result);
   noteAnswer(result);
@@ -377,8 +377,8 @@
     keeper_->onKeyRefused(entry.frame.key);
   }
   if (answered) {
-    answer_sizes_.note(entry.frame.kind, result.http.body.size());
-    service_times_.note(entry.frame.route, service_time);
+    answer_sizes_.record(entry.frame.kind, result.http.body.size());
+    service_times_.record(entry.frame.route, service_time);
   }
   ForwardReplyFrame reply;
   reply.exchange = entry.frame.exchange;
@@ -397,17 +397,17 @@
 void ServerGate::noteEnd(QueueTicket ticket, const RequestFingerprint& fingerprint, const ServerResult& result) {
   const TimePoint now = clock_.now();
   if (!result.reached_server || result.reason == ForwardReason::WrongInstance) {
-    unanswered_.notReached(ticket);
+    unanswered_.onNotReached(ticket);
   } else if (result.outcome != ForwardOutcome::Unknown) {
     const bool ran_well = result.ranWell();
-    unanswered_.answered(ticket, ran_well, now);
+    unanswered_.onAnswered(ticket, ran_well, now);
     if (ran_well) {
       events_.served(fingerprint);
     }
   } else if (result.reason == ForwardReason::Cancelled || result.reason == ForwardReason::TimedOut) {
-    unanswered_.abandoned(ticket, now);
+    unanswered_.onAbandoned(ticket, now);
   } else {
-    unanswered_.broken(ticket, now);
+    unanswered_.onConnectionLost(ticket, now);
   }
 }
 
@@ -436,7 +436,7 @@
   const bool says_nothing = result.reason == ForwardReason::Cancelled || result.reason == ForwardReason::NotOwner ||
                             result.reason == ForwardReason::WrongInstance;
   if (!says_nothing) {
-    failures_.note(!result.ranWell(), clock_.now());
+    failures_.record(!result.ranWell(), clock_.now());
   }
 }
 
@@ -463,7 +463,7 @@
 }
 
 void ServerGate::giveBackAll(ForwardReason reason) {
-  for (const QueueTicket ticket : queue_.takeAll()) {
+  for (const QueueTicket ticket : queue_.removeAll()) {
     giveBack(ticket, reason, {});
   }
   onKeysChanged();
@@ -499,8 +499,8 @@
   if (!held_.empty()) {
     onKeysChanged();
   }
-  for (const QueueTicket ticket : queue_.takeOverdue(now)) {
-    giveBack(ticket, ForwardReason::Overloaded, queue_.meanService());
+  for (const QueueTicket ticket : queue_.removeOverdue(now)) {
+    giveBack(ticket, ForwardReason::Overloaded, queue_.meanServiceTime());
   }
   applyColdness();
   startWaiting();
--- a/source/router/server_gate.h
+++ b/source/router/server_gate.h
@@ -78,7 +78,7 @@
   /// It may have turned cold: taken for cold until its next report.
   void assumeCold();
   /// The server ran before this process did: others may have begun as many requests as it bears.
-  void assumeStartsUsedUp() { queue_.assumeStartsUsedUp(clock_.now()); }
+  void assumeStartsUsedUp() { queue_.assumeStartLimitExhausted(clock_.now()); }
   /// It has ended: nothing more is begun, what waits is given back.
   void serverEnded();
   /// It leaves: nothing more is begun, what waits is given back; keyed requests go on until `closeKeys`.
@@ -113,7 +113,7 @@
 
   ServerLoad load() const;
   /// @return share of the server's requests that fail of late.
-  double failingShare() const { return failures_.share(clock_.now()); }
+  double failingShare() const { return failures_.failureRatio(clock_.now()); }
   const InstanceId& instance() const { return instance_; }
   bool draining() const { return draining_; }
   bool empty() const { return entries_.empty() && held_.empty(); }
@@ -187,9 +187,9 @@
   LinkView machine_link_;
   GateRecorder& recorder_;
   GateEvents events_;
-  AnswerSizes answer_sizes_;
-  ServiceTimes service_times_;
-  KeyWaits key_waits_;
+  ResponseSizeEstimator answer_sizes_;
+  DurationEstimator service_times_;
+  KeyWaitEstimator key_waits_;
   FailureMeter failures_;
   UnansweredRequests unanswered_;
   /// Sum over all entries.
--- a/source/router/store_caller.cc
+++ b/source/router/store_caller.cc
@@ -80,7 +80,7 @@
     if (answered != straight_works_) {
       straight_works_ = answered;
       log_.write("store", answered ? "regained" : "lost",
-                 {{"method", method}, {"took_ms", millisecondsText(clock_.now() - sent)}});
+                 {{"method", method}, {"took_ms", formatMilliseconds(clock_.now() - sent)}});
     }
     done(answered ? std::optional<HttpResponse>(std::move(exchange.response)) : std::nullopt);
   };
--- a/test/core_router/claim_keeper_test.cc
+++ b/test/core_router/claim_keeper_test.cc
@@ -22,7 +22,7 @@
   struct Process {
     std::unique_ptr<sim::VirtualMetadataStore> store;
     std::unique_ptr<RestorableStore> eras;
-    std::unique_ptr<ClaimKeeper> keeper;
+    std::unique_ptr<ClaimManager> keeper;
   };
 
   explicit ClaimWorld(std::uint64_t seed) : random_(seed) {}
@@ -38,7 +38,7 @@
     events.on_era_untold = [] {};
     process.eras = std::make_unique<RestorableStore>(*process.store, events);
     process.eras->noteEra(state_.revision().era);
-    process.keeper = std::make_unique<ClaimKeeper>(self, *process.eras, time_, [this](const NodeIdentity& holder) {
+    process.keeper = std::make_unique<ClaimManager>(self, *process.eras, time_, [this](const NodeIdentity& holder) {
       const auto known = lives_.find(holder.name);
       return known == lives_.end() || known->second <= holder.incarnation;
     });
@@ -53,16 +53,16 @@
   }
 
   struct Asked {
-    ClaimNumber number = 0;
-    std::optional<ClaimAnswer> answer;
+    ClaimHandle number = 0;
+    std::optional<ClaimResult> answer;
   };
 
   std::shared_ptr<Asked> ask(Process& process, const std::string& key, const std::string& request,
                              Duration patience = seconds(10)) {
     auto asked = std::make_shared<Asked>();
     asked->number =
-        process.keeper->begin({ServiceName("s"), TenantName("t"), IdempotencyKey(key)}, RequestId(request),
-                              time_.now() + patience, [asked](const ClaimAnswer& answer) { asked->answer = answer; });
+        process.keeper->acquire({ServiceName("s"), TenantName("t"), IdempotencyKey(key)}, RequestId(request),
+                                time_.now() + patience, [asked](const ClaimResult& answer) { asked->answer = answer; });
     return asked;
   }
 
@@ -97,14 +97,14 @@
   return asked->answer ? asked->answer->verdict : ClaimVerdict::Unavailable;
 }
 
-class ClaimKeeperTest : public ::testing::Test {
+class ClaimManagerTest : public ::testing::Test {
  protected:
   ClaimWorld world_{kSeed};
   ClaimWorld::Process& first_ = world_.start("a");
   ClaimWorld::Process& second_ = world_.start("b");
 };
 
-TEST_F(ClaimKeeperTest, OneOfTwoRequestsRuns) {
+TEST_F(ClaimManagerTest, OneOfTwoRequestsRuns) {
   const auto one = world_.ask(first_, "k", "r1");
   const auto other = world_.ask(second_, "k", "r2");
   const auto elsewhere = world_.ask(second_, "k2", "r3");
@@ -114,36 +114,36 @@
   EXPECT_EQ(verdictOf(elsewhere), ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimKeeperTest, RepeatedRequestGetsTheRecordedAnswer) {
+TEST_F(ClaimManagerTest, RepeatedRequestGetsTheRecordedAnswer) {
   const auto one = world_.ask(first_, "k", "r1");
   world_.run(seconds(1));
-  first_.keeper->finish(one->number, ClaimEnd::Answered, {201, {{"A", "b"}}, std::string("\0\xff body", 7)});
+  first_.keeper->finish(one->number, ClaimOutcome::Answered, {201, {{"A", "b"}}, std::string("\0\xff body", 7)});
   world_.run(seconds(1));
   const auto again = world_.ask(second_, "k", "r2");
   world_.run(seconds(1));
   ASSERT_EQ(verdictOf(again), ClaimVerdict::Recorded);
-  EXPECT_EQ(again->answer->recorded.status, 201);
-  EXPECT_EQ(again->answer->recorded.headers.at(0).value, "b");
-  EXPECT_EQ(again->answer->recorded.body, std::string("\0\xff body", 7));
-  EXPECT_EQ(first_.keeper->open(), 0U);
+  EXPECT_EQ(again->answer->recorded_response.status, 201);
+  EXPECT_EQ(again->answer->recorded_response.headers.at(0).value, "b");
+  EXPECT_EQ(again->answer->recorded_response.body, std::string("\0\xff body", 7));
+  EXPECT_EQ(first_.keeper->activeClaims(), 0U);
 }
 
-TEST_F(ClaimKeeperTest, AnswerTooLargeToKeepIsNotRunAgain) {
+TEST_F(ClaimManagerTest, AnswerTooLargeToKeepIsNotRunAgain) {
   const auto one = world_.ask(first_, "k", "r1");
   world_.run(seconds(1));
-  first_.keeper->finish(one->number, ClaimEnd::Answered, {200, {}, std::string(1U << 20U, 'x')});
+  first_.keeper->finish(one->number, ClaimOutcome::Answered, {200, {}, std::string(1U << 20U, 'x')});
   world_.run(seconds(1));
   const auto again = world_.ask(second_, "k", "r2");
   world_.run(seconds(1));
   EXPECT_EQ(verdictOf(again), ClaimVerdict::OutcomeUnknown);
 }
 
-TEST_F(ClaimKeeperTest, KeyIsFreeAgainOnlyIfItsRequestHasNotRun) {
+TEST_F(ClaimManagerTest, KeyIsFreeAgainOnlyIfItsRequestHasNotRun) {
   const auto refused = world_.ask(first_, "k", "r1");
   const auto lost = world_.ask(first_, "k2", "r2");
   world_.run(seconds(1));
-  first_.keeper->finish(refused->number, ClaimEnd::NotRun, {});
-  first_.keeper->finish(lost->number, ClaimEnd::Unknown, {});
+  first_.keeper->finish(refused->number, ClaimOutcome::NotRun, {});
+  first_.keeper->finish(lost->number, ClaimOutcome::Unknown, {});
   world_.run(seconds(1));
   const auto again = world_.ask(second_, "k", "r3");
   const auto after_lost = world_.ask(second_, "k2", "r4");
@@ -153,11 +153,11 @@
 }
 
 // In place of `lab.LostMajorityTest.ClaimsSurvive`: no loss of processes, all of them at once or not, forgets a claim.
-TEST_F(ClaimKeeperTest, ClaimsSurviveTheLossOfAllProcesses) {
+TEST_F(ClaimManagerTest, ClaimsSurviveTheLossOfAllProcesses) {
   const auto running = world_.ask(first_, "k", "r1");
   const auto answered = world_.ask(second_, "k2", "r2");
   world_.run(milliseconds(200));
-  second_.keeper->finish(answered->number, ClaimEnd::Answered, {200, {}, "body"});
+  second_.keeper->finish(answered->number, ClaimOutcome::Answered, {200, {}, "body"});
   world_.run(milliseconds(200));
   ASSERT_EQ(verdictOf(running), ClaimVerdict::Granted);
   world_.kill(first_);
@@ -174,21 +174,21 @@
   EXPECT_EQ(verdictOf(after_restart), ClaimVerdict::OutcomeUnknown);
 }
 
-TEST_F(ClaimKeeperTest, UndecidedClaimIsRefusedInTimeAndItsKeyComesFree) {
+TEST_F(ClaimManagerTest, UndecidedClaimIsRefusedInTimeAndItsKeyComesFree) {
   first_.store->faults.late = 1.0;
   const auto late = world_.ask(first_, "k", "r1", milliseconds(800));
   world_.run(seconds(1));
   ASSERT_EQ(verdictOf(late), ClaimVerdict::Unavailable);
   first_.store->faults = {};
   world_.run(seconds(15));
-  EXPECT_EQ(first_.keeper->open(), 0U);
+  EXPECT_EQ(first_.keeper->activeClaims(), 0U);
   const auto next = world_.ask(second_, "k", "r2");
   world_.run(seconds(1));
   EXPECT_EQ(verdictOf(next), ClaimVerdict::Granted);
 }
 
 // A claim that is waited for no more must not be granted by a call that the store carries out later.
-TEST(ClaimKeeperProperty, NoKeyIsGrantedTwiceUnlessTheFirstHasNotRun) {
+TEST(ClaimManagerProperty, NoKeyIsGrantedTwiceUnlessTheFirstHasNotRun) {
   constexpr std::uint64_t kSeeds = 60;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     SCOPED_TRACE(seed);
@@ -212,7 +212,7 @@
         // A third of the requests that are granted are refused before they run; the others run.
         const bool ran = random() % 3 != 0;
         runs += ran ? 1 : 0;
-        holder->keeper->finish(claim->number, ran ? ClaimEnd::Unknown : ClaimEnd::NotRun, {});
+        holder->keeper->finish(claim->number, ran ? ClaimOutcome::Unknown : ClaimOutcome::NotRun, {});
         claim.reset();
       }
     }
@@ -220,7 +220,7 @@
   }
 }
 
-TEST_F(ClaimKeeperTest, HeldClaimThatTheStoreHasLostIsNotGivenToAnother) {
+TEST_F(ClaimManagerTest, HeldClaimThatTheStoreHasLostIsNotGivenToAnother) {
   world_.copyStore();
   const auto held = world_.ask(first_, "k", "r1");
   world_.run(seconds(1));
@@ -233,20 +233,20 @@
   world_.ask(first_, "another", "r3");
   world_.run(seconds(5));
   EXPECT_EQ(verdictOf(other), ClaimVerdict::InProgress);
-  first_.keeper->finish(held->number, ClaimEnd::Answered, {201, {}, "done"});
+  first_.keeper->finish(held->number, ClaimOutcome::Answered, {201, {}, "done"});
   world_.run(seconds(1));
   const auto repeated = world_.ask(second_, "k", "r4");
   world_.run(seconds(1));
   EXPECT_EQ(verdictOf(repeated), ClaimVerdict::Recorded);
 }
 
-TEST_F(ClaimKeeperTest, EndedClaimThatTheStoreHasLostIsWrittenAgain) {
+TEST_F(ClaimManagerTest, EndedClaimThatTheStoreHasLostIsWrittenAgain) {
   world_.copyStore();
   const auto ran = world_.ask(first_, "k", "r1");
   const auto did_not = world_.ask(first_, "k2", "r2");
   world_.run(seconds(1));
-  first_.keeper->finish(ran->number, ClaimEnd::Answered, {201, {}, "done"});
-  first_.keeper->finish(did_not->number, ClaimEnd::NotRun, {});
+  first_.keeper->finish(ran->number, ClaimOutcome::Answered, {201, {}, "done"});
+  first_.keeper->finish(did_not->number, ClaimOutcome::NotRun, {});
   world_.run(seconds(1));
   world_.restoreStore();
   const auto repeated = world_.ask(second_, "k", "r3");
@@ -257,7 +257,7 @@
   EXPECT_EQ(verdictOf(free), ClaimVerdict::Granted);
 }
 
-TEST_F(ClaimKeeperTest, RequestThatCantWaitUntilClaimsAreWrittenAgainIsRefusedAtOnce) {
+TEST_F(ClaimManagerTest, RequestThatCantWaitUntilClaimsAreWrittenAgainIsRefusedAtOnce) {
   world_.copyStore();
   world_.restoreStore();
   const auto first = world_.ask(first_, "k", "r1");
--- a/test/core_router/failure_meter_test.cc
+++ b/test/core_router/failure_meter_test.cc
@@ -17,33 +17,33 @@
 TimePoint note(FailureMeter& meter, int times, bool failed, TimePoint from, Duration gap) {
   for (int i = 0; i < times; ++i) {
     from += gap;
-    meter.note(failed, from);
+    meter.record(failed, from);
   }
   return from;
 }
 
-TEST(FailureMeterTest, NothingHasFailedAtFirst) { EXPECT_EQ(FailureMeter().share(kStart), 0.0); }
+TEST(FailureMeterTest, NothingHasFailedAtFirst) { EXPECT_EQ(FailureMeter().failureRatio(kStart), 0.0); }
 
 TEST(FailureMeterTest, SingleFailureSaysLittle) {
   FailureMeter meter;
-  meter.note(true, kStart);
-  EXPECT_LT(meter.share(kStart), 0.25);
+  meter.record(true, kStart);
+  EXPECT_LT(meter.failureRatio(kStart), 0.25);
 }
 
 TEST(FailureMeterTest, ServerThatFailsAllShowsSoWithinASecond) {
   FailureMeter meter;
   TimePoint now = note(meter, 200, false, kStart, milliseconds(20));
-  EXPECT_LT(meter.share(now), 0.01);
+  EXPECT_LT(meter.failureRatio(now), 0.01);
   now = note(meter, 50, true, now, milliseconds(20));
-  EXPECT_GT(meter.share(now), 0.45);
+  EXPECT_GT(meter.failureRatio(now), 0.45);
 }
 
 TEST(FailureMeterTest, ServerThatIsSentNothingComesToBeTakenForSound) {
   FailureMeter meter;
   const TimePoint now = note(meter, 100, true, kStart, milliseconds(20));
-  EXPECT_GT(meter.share(now), 0.8);
-  EXPECT_LT(meter.share(now + seconds(8)), 0.1);
-  EXPECT_GT(meter.share(now + seconds(2)), 0.6);
+  EXPECT_GT(meter.failureRatio(now), 0.8);
+  EXPECT_LT(meter.failureRatio(now + seconds(8)), 0.1);
+  EXPECT_GT(meter.failureRatio(now + seconds(2)), 0.6);
 }
 
 TEST(FailureMeterTest, HalfOfThemFailing) {
@@ -52,7 +52,7 @@
   for (int i = 0; i < 200; ++i) {
     now = note(meter, 1, i % 2 == 0, now, milliseconds(10));
   }
-  EXPECT_NEAR(meter.share(now), 0.5, 0.05);
+  EXPECT_NEAR(meter.failureRatio(now), 0.5, 0.05);
 }
 
 }  // namespace
--- a/test/core_router/list_schedule_test.cc
+++ b/test/core_router/list_schedule_test.cc
@@ -12,8 +12,8 @@
 
 constexpr TimePoint kStart{std::chrono::seconds(5)};
 
-constexpr ListTimes kTimes{milliseconds(2500), milliseconds(8000), milliseconds(1000), milliseconds(400),
-                           milliseconds(1600)};
+constexpr ListIntervals kIntervals{milliseconds(2500), milliseconds(8000), milliseconds(1000), milliseconds(400),
+                                   milliseconds(1600)};
 
 TEST(RetryBackoffTest, DoublesUpToItsLimitAndStartsAnewAfterASuccess) {
   RetryBackoff backoff(milliseconds(100), milliseconds(350));
@@ -26,35 +26,35 @@
 }
 
 TEST(ListScheduleTest, PausesByWhatIsLacking) {
-  ListSchedule schedule(kTimes);
-  EXPECT_LE(schedule.due(ListNeed::Nothing), kStart);
+  ListSchedule schedule(kIntervals);
+  EXPECT_LE(schedule.dueAt(ListNeed::Nothing), kStart);
   schedule.onListed(kStart);
-  EXPECT_EQ(schedule.due(ListNeed::Nothing), kStart + milliseconds(8000));
-  EXPECT_EQ(schedule.due(ListNeed::Newer), kStart + milliseconds(2500));
-  EXPECT_EQ(schedule.due(ListNeed::Missing), kStart + milliseconds(1000));
+  EXPECT_EQ(schedule.dueAt(ListNeed::Nothing), kStart + milliseconds(8000));
+  EXPECT_EQ(schedule.dueAt(ListNeed::Newer), kStart + milliseconds(2500));
+  EXPECT_EQ(schedule.dueAt(ListNeed::Missing), kStart + milliseconds(1000));
 }
 
 // Seen: a store that refused some nodes was asked again by them for each reply that told of a newer table;
 // 1,496 lists in 9 s.
 TEST(ListScheduleTest, NothingIsListedBeforeTheBackoffOfAFailureIsOver) {
-  ListSchedule schedule(kTimes);
+  ListSchedule schedule(kIntervals);
   schedule.onListed(kStart);
   const TimePoint failed = kStart + milliseconds(20000);
   schedule.onFailed(failed);
-  EXPECT_EQ(schedule.due(ListNeed::Newer), failed + milliseconds(400));
-  EXPECT_EQ(schedule.due(ListNeed::Missing), failed + milliseconds(400));
+  EXPECT_EQ(schedule.dueAt(ListNeed::Newer), failed + milliseconds(400));
+  EXPECT_EQ(schedule.dueAt(ListNeed::Missing), failed + milliseconds(400));
   schedule.onFailed(failed + milliseconds(400));
-  EXPECT_EQ(schedule.due(ListNeed::Newer), failed + milliseconds(1200));
+  EXPECT_EQ(schedule.dueAt(ListNeed::Newer), failed + milliseconds(1200));
 }
 
 TEST(ListScheduleTest, BackoffHoldsForTheFirstListAsWell) {
-  ListSchedule schedule(kTimes);
+  ListSchedule schedule(kIntervals);
   schedule.onFailed(kStart);
-  EXPECT_EQ(schedule.due(ListNeed::Missing), kStart + milliseconds(400));
+  EXPECT_EQ(schedule.dueAt(ListNeed::Missing), kStart + milliseconds(400));
 }
 
 TEST(ListScheduleTest, OnlyTheFirstListAndOneForSomethingNewerMustBeFresh) {
-  ListSchedule schedule(kTimes);
+  ListSchedule schedule(kIntervals);
   EXPECT_TRUE(schedule.mustBeFresh(ListNeed::Nothing));
   schedule.onFailed(kStart);
   EXPECT_TRUE(schedule.mustBeFresh(ListNeed::Nothing));
--- a/test/core_router/quarantine/crash_quarantine_test.cc
+++ b/test/core_router/quarantine/crash_quarantine_test.cc
@@ -29,10 +29,12 @@
  protected:
   ServerEndsFrame end(const std::string& instance, const std::vector<RequestFingerprint>& unanswered) {
     now_ += milliseconds(100);
-    return quarantine_.onOwnEnd(endOf(instance), unanswered, now_);
+    return quarantine_.onLocalCrash(endOf(instance), unanswered, now_);
   }
 
-  bool isKeptBack(const RequestFingerprint& request) const { return quarantine_.timeLeft(request, now_).has_value(); }
+  bool isKeptBack(const RequestFingerprint& request) const {
+    return quarantine_.remainingTime(request, now_).has_value();
+  }
 
   CrashQuarantine quarantine_{{}};
   TimePoint now_ = kStart;
@@ -45,7 +47,7 @@
 }
 
 TEST_F(CrashQuarantineTest, EndThatNamesARequestTwiceIsOneEnd) {
-  quarantine_.take({{{endOf("i-1"), 0, {kFatal, kFatal, kFatal}}}, {}}, now_);
+  quarantine_.merge({{{endOf("i-1"), 0, {kFatal, kFatal, kFatal}}}, {}}, now_);
   EXPECT_FALSE(quarantine_.isActive());
 }
 
@@ -97,40 +99,40 @@
 
 // A server may start again under its id.
 TEST_F(CrashQuarantineTest, EndsOfOneIdAreToldApartByTheirTime) {
-  quarantine_.onOwnEnd(endOf("i-1", 5), {kFatal}, now_);
-  quarantine_.onOwnEnd(endOf("i-1", 5), {kFatal}, now_ + milliseconds(1));
+  quarantine_.onLocalCrash(endOf("i-1", 5), {kFatal}, now_);
+  quarantine_.onLocalCrash(endOf("i-1", 5), {kFatal}, now_ + milliseconds(1));
   EXPECT_FALSE(isKeptBack(kFatal));
-  quarantine_.onOwnEnd(endOf("i-1", 6), {kFatal}, now_ + milliseconds(2));
+  quarantine_.onLocalCrash(endOf("i-1", 6), {kFatal}, now_ + milliseconds(2));
   EXPECT_TRUE(isKeptBack(kFatal));
 }
 
 TEST_F(CrashQuarantineTest, EndsSomeTime) {
   end("i-1", {kFatal});
   end("i-2", {kFatal});
-  EXPECT_GT(*quarantine_.timeLeft(kFatal, now_), minutes(29));
-  now_ += QuarantineConfig{}.time + seconds(1);
+  EXPECT_GT(*quarantine_.remainingTime(kFatal, now_), minutes(29));
+  now_ += QuarantineConfig{}.duration + seconds(1);
   EXPECT_FALSE(isKeptBack(kFatal));
-  EXPECT_TRUE(quarantine_.forget(now_));
+  EXPECT_TRUE(quarantine_.removeExpired(now_));
   EXPECT_FALSE(quarantine_.isActive());
-  EXPECT_EQ(quarantine_.rememberedEnds(), 0U);
+  EXPECT_EQ(quarantine_.crashCount(), 0U);
 }
 
 TEST_F(CrashQuarantineTest, RecordAloneKeepsItBack) {
-  quarantine_.onRecorded(kFatal, now_ + minutes(5), true, now_);
+  quarantine_.onQuarantineRecord(kFatal, now_ + minutes(5), true, now_);
   EXPECT_TRUE(isKeptBack(kFatal));
   ASSERT_EQ(quarantine_.quarantined().size(), 1U);
-  EXPECT_TRUE(quarantine_.quarantined().front().recorded_here);
+  EXPECT_TRUE(quarantine_.quarantined().front().in_own_record);
   quarantine_.onServed(kFatal, microsecondsOf(now_), now_ + seconds(1));
   EXPECT_FALSE(isKeptBack(kFatal));
-  quarantine_.onRecorded(kFatal, now_ + minutes(5), true, now_ + seconds(2));
+  quarantine_.onQuarantineRecord(kFatal, now_ + minutes(5), true, now_ + seconds(2));
   EXPECT_FALSE(isKeptBack(kFatal)) << "an old record came back";
 }
 
 // A record that no process of this code wrote must not keep a request back for ever.
 TEST_F(CrashQuarantineTest, RecordKeepsItBackForTheQuarantinesTimeAtMost) {
-  quarantine_.onRecorded(kFatal, now_ + std::chrono::hours(10000), false, now_);
-  EXPECT_LE(*quarantine_.timeLeft(kFatal, now_), QuarantineConfig{}.time);
-  quarantine_.onRecorded(kOther, now_ - seconds(1), false, now_);
+  quarantine_.onQuarantineRecord(kFatal, now_ + std::chrono::hours(10000), false, now_);
+  EXPECT_LE(*quarantine_.remainingTime(kFatal, now_), QuarantineConfig{}.duration);
+  quarantine_.onQuarantineRecord(kOther, now_ - seconds(1), false, now_);
   EXPECT_FALSE(isKeptBack(kOther));
 }
 
@@ -140,10 +142,10 @@
   const ServerEndsFrame second = end("i-2", {kFatal, kOther});
   EXPECT_EQ(second.ends.size(), 2U);
   CrashQuarantine other{{}};
-  EXPECT_TRUE(other.take(first, now_).empty());
-  EXPECT_EQ(other.take(second, now_).ends.size(), 2U);
-  EXPECT_TRUE(other.take(second, now_).empty()) << "told twice";
-  EXPECT_TRUE(other.timeLeft(kFatal, now_).has_value());
+  EXPECT_TRUE(other.merge(first, now_).empty());
+  EXPECT_EQ(other.merge(second, now_).ends.size(), 2U);
+  EXPECT_TRUE(other.merge(second, now_).empty()) << "told twice";
+  EXPECT_TRUE(other.remainingTime(kFatal, now_).has_value());
 }
 
 TEST_F(CrashQuarantineTest, ProcessThatHasJustStartedIsToldAll) {
@@ -151,22 +153,22 @@
   end("i-2", {kFatal, kOther});
   quarantine_.onServed(kBystander, microsecondsOf(now_), now_);
   CrashQuarantine other{{}};
-  other.take(quarantine_.summary(now_ + seconds(2)), now_ + seconds(2));
-  EXPECT_TRUE(other.timeLeft(kFatal, now_ + seconds(2)).has_value());
-  EXPECT_FALSE(other.timeLeft(kBystander, now_ + seconds(2)).has_value());
+  other.merge(quarantine_.summary(now_ + seconds(2)), now_ + seconds(2));
+  EXPECT_TRUE(other.remainingTime(kFatal, now_ + seconds(2)).has_value());
+  EXPECT_FALSE(other.remainingTime(kBystander, now_ + seconds(2)).has_value());
 }
 
 // One gate has answered a request between two ends that other gates saw; only it knows. It says so once that counts.
 TEST_F(CrashQuarantineTest, GateThatHasServedASuspectTellsOthersThatCountItsEnds) {
   CrashQuarantine served_it{{}};
   const ServerEndsFrame first = end("i-1", {kBystander});
-  served_it.take(first, now_);
+  served_it.merge(first, now_);
   EXPECT_TRUE(served_it.onServed(kBystander, microsecondsOf(now_), now_ + milliseconds(10)).empty())
       << "nobody counts yet";
   const ServerEndsFrame second = end("i-2", {kBystander});
   ASSERT_TRUE(isKeptBack(kBystander));
-  const ServerEndsFrame news = served_it.take(second, now_);
-  quarantine_.take(news, now_);
+  const ServerEndsFrame news = served_it.merge(second, now_);
+  quarantine_.merge(news, now_);
   EXPECT_FALSE(isKeptBack(kBystander));
 }
 
@@ -177,9 +179,9 @@
     for (std::uint64_t j = 0; j < 300; ++j) {
       unanswered.push_back({i, j});
     }
-    quarantine_.onOwnEnd(endOf("i-" + std::to_string(i)), unanswered, now_);
+    quarantine_.onLocalCrash(endOf("i-" + std::to_string(i)), unanswered, now_);
   }
-  EXPECT_LE(quarantine_.rememberedEnds(), 256U);
+  EXPECT_LE(quarantine_.crashCount(), 256U);
   EXPECT_LE(quarantine_.summary(now_).ends.size(), 256U);
   EXPECT_LE(quarantine_.summary(now_).ends.front().unanswered.size(), 128U);
 }
@@ -207,8 +209,8 @@
     for (int process = 0; process < 3; ++process) {
       CrashQuarantine quarantine{{}};
       for (const ServerEndsFrame& one : news) {
-        quarantine.take(one, kStart);
-        quarantine.take(one, kStart);
+        quarantine.merge(one, kStart);
+        quarantine.merge(one, kStart);
       }
       std::vector<RequestFingerprint> named;
       for (const auto& one : quarantine.quarantined()) {
--- a/test/core_router/quarantine/quarantine_spread_test.cc
+++ b/test/core_router/quarantine/quarantine_spread_test.cc
@@ -53,7 +53,7 @@
   void tell(std::size_t receiver, const ServerEndsFrame& news) {
     ++told;
     const Duration way = milliseconds(1 + draw(kMostNewsMs));
-    at(now + way, [this, receiver, news] { tellAll(receiver, of(receiver).take(news, now)); });
+    at(now + way, [this, receiver, news] { tellAll(receiver, of(receiver).merge(news, now)); });
   }
 
   /// @return whether all steps before the end were run.
@@ -86,13 +86,13 @@
 TEST(QuarantineSpreadTest, NewsDieOut) {
   constexpr std::size_t kProcesses = 8;
   Spread spread(kProcesses, 1);
-  spread.tellAll(0, spread.of(0).onOwnEnd({InstanceId("i-1"), 1}, {kFatal}, spread.now));
+  spread.tellAll(0, spread.of(0).onLocalCrash({InstanceId("i-1"), 1}, {kFatal}, spread.now));
   ASSERT_TRUE(spread.runUntil(kStart + seconds(1)));
   spread.of(3).onServed(kFatal, microsecondsOf(spread.now), spread.now);
   for (std::size_t process = 0; process < kProcesses; ++process) {
     spread.tell(process, spread.of(3).summary(spread.now));
   }
-  spread.tellAll(1, spread.of(1).onOwnEnd({InstanceId("i-2"), 2}, {kFatal}, spread.now));
+  spread.tellAll(1, spread.of(1).onLocalCrash({InstanceId("i-2"), 2}, {kFatal}, spread.now));
   ASSERT_TRUE(spread.runUntil(kStart + seconds(20), 5000));
   EXPECT_LE(spread.told, 6 * kProcesses * kProcesses);
 }
@@ -176,7 +176,7 @@
     const std::size_t gateway = spread.draw(spread.processes());
     Server& server = servers_[to];
     const bool kept_back =
-        spread.of(gateway).timeLeft(request, spread.now) || spread.of(to).timeLeft(request, spread.now);
+        spread.of(gateway).remainingTime(request, spread.now) || spread.of(to).remainingTime(request, spread.now);
     if (kept_back) {
       counts.refused_in_vain += is_fatal ? 0 : 1;
       return;
@@ -186,7 +186,7 @@
     }
     const std::uint64_t number = ++last_send_;
     server.running[number] = {request, repeats};
-    server.unanswered.begun(number, request);
+    server.unanswered.onSent(number, request);
     counts.fatal_begun += is_fatal ? 1 : 0;
     counts.fatal_late += is_fatal && spread.now > third_end_ + seconds(3) ? 1 : 0;
     const Duration work = is_fatal ? milliseconds(100) : milliseconds(150);
@@ -204,7 +204,7 @@
       return;
     }
     server.running.erase(number);
-    server.unanswered.answered(number, true, spread.now);
+    server.unanswered.onAnswered(number, true, spread.now);
     spread.tellAll(to, spread.of(to).onServed(request, microsecondsOf(spread.now), spread.now));
   }
 
@@ -216,7 +216,7 @@
       third_end_ = spread.now;
     }
     const ServerEndId id{InstanceId("i-" + std::to_string(to)), server.life};
-    spread.tellAll(to, spread.of(to).onOwnEnd(id, server.unanswered.takeAtEnd(), spread.now));
+    spread.tellAll(to, spread.of(to).onLocalCrash(id, server.unanswered.takeOnCrash(), spread.now));
     for (const auto& [number, lost] : server.running) {
       if (!isFatal(lost.first) && lost.second > 0) {
         spread.at(spread.now + milliseconds(1 + spread.draw(100)),
@@ -264,7 +264,7 @@
     EXPECT_LE(counts.ends, 3 * kFatalRequests) << "seed " << seed;
     EXPECT_LE(counts.refused_in_vain * 1000, counts.asked) << "seed " << seed;
     for (const RequestFingerprint& request : load.fatal) {
-      EXPECT_TRUE(load.spread.of(0).timeLeft(request, load.spread.now)) << "seed " << seed;
+      EXPECT_TRUE(load.spread.of(0).remainingTime(request, load.spread.now)) << "seed " << seed;
     }
     ends += counts.ends;
   }
@@ -294,7 +294,7 @@
     load.hot = {3, 3};
     const FatalLoad::Counts counts = load.play(seconds(60), 2);
     EXPECT_LE(counts.refused_in_vain * 1000, counts.asked) << "seed " << seed;
-    EXPECT_FALSE(load.spread.of(0).timeLeft(load.hot, load.spread.now)) << "seed " << seed;
+    EXPECT_FALSE(load.spread.of(0).remainingTime(load.hot, load.spread.now)) << "seed " << seed;
   }
 }
 
@@ -308,7 +308,7 @@
   load.spread.tell(9, load.spread.of(2).summary(load.spread.now));
   const std::size_t begun = load.counts.fatal_begun;
   ASSERT_TRUE(load.spread.runUntil(kStart + seconds(21)));
-  EXPECT_TRUE(load.spread.of(9).timeLeft(kFatal, load.spread.now));
+  EXPECT_TRUE(load.spread.of(9).remainingTime(kFatal, load.spread.now));
   ASSERT_TRUE(load.spread.runUntil(kStart + seconds(60)));
   EXPECT_LE(load.counts.fatal_begun, begun + 1);
 }
@@ -322,14 +322,14 @@
   const RequestFingerprint hot{3, 3};
   for (std::uint64_t end = 0; end < 60; ++end) {
     for (int run = 0; run < 20; ++run) {
-      unanswered.begun(++number, hot);
-      unanswered.answered(number, true, spread.now);
+      unanswered.onSent(++number, hot);
+      unanswered.onAnswered(number, true, spread.now);
     }
-    unanswered.begun(++number, hot);
-    unanswered.begun(++number, {2, number});
+    unanswered.onSent(++number, hot);
+    unanswered.onSent(++number, {2, number});
     const std::size_t process = spread.draw(kProcesses);
     const ServerEndId id{InstanceId("i"), end};
-    spread.tellAll(process, spread.of(process).onOwnEnd(id, unanswered.takeAtEnd(), spread.now));
+    spread.tellAll(process, spread.of(process).onLocalCrash(id, unanswered.takeOnCrash(), spread.now));
     ASSERT_TRUE(spread.runUntil(spread.now + seconds(1)));
   }
   for (std::size_t process = 0; process < kProcesses; ++process) {
--- a/test/core_router/request_ids_test.cc
+++ b/test/core_router/request_ids_test.cc
@@ -6,11 +6,11 @@
 namespace shedlever {
 namespace {
 
-RC_GTEST_PROP(RequestIds, DifferentGatewaysAndLivesNeverShareAnId,
+RC_GTEST_PROP(RequestIdGenerator, DifferentGatewaysAndLivesNeverShareAnId,
               (const std::string& left_name, const std::string& right_name, std::uint64_t left_life,
                std::uint64_t right_life, std::uint64_t number)) {
-  const RequestIds left({NodeName(left_name), {left_life}});
-  const RequestIds right({NodeName(right_name), {right_life}});
+  const RequestIdGenerator left({NodeName(left_name), {left_life}});
+  const RequestIdGenerator right({NodeName(right_name), {right_life}});
   const RequestSequence sequence = number | 1U;
   const RequestId id = left.idOf(sequence);
   RC_ASSERT(left.sequenceOf(id) == sequence);
@@ -21,8 +21,8 @@
             std::string::npos);
 }
 
-TEST(RequestIds, OnlyOneSpellingIsAnId) {
-  RequestIds ids({NodeName("gw-1"), {0x1f}});
+TEST(RequestIdGenerator, OnlyOneSpellingIsAnId) {
+  RequestIdGenerator ids({NodeName("gw-1"), {0x1f}});
   EXPECT_EQ(ids.idOf(ids.next()).value, "gw-1-1f-1");
   EXPECT_EQ(ids.idOf(ids.next()).value, "gw-1-1f-2");
   for (const char* const wrong : {"", "gw-1-1f-", "gw-1-1f-01", "gw-1-1f-A", "gw-1-1f-1 ", "gw-1-1f-+1", "gw-1-1e-1",
--- a/test/core_router/routing_test.cc
+++ b/test/core_router/routing_test.cc
@@ -58,11 +58,11 @@
   }
 }
 
-TEST(SplitPickerTest, MeetsWeightsInShortSamples) {
+TEST(TrafficSplitterTest, MeetsWeightsInShortSamples) {
   Route split = route("r", "h", "/");
   split.shares = {{ServiceName("big"), 90}, {ServiceName("small"), 10}};
   for (std::size_t offset = 0; offset < 20; ++offset) {
-    SplitPicker picker(offset);
+    TrafficSplitter picker(offset);
     int small = 0;
     constexpr int kRequests = 50;
     for (int i = 0; i < kRequests; ++i) {
@@ -72,10 +72,10 @@
   }
 }
 
-TEST(SplitPickerTest, NewWeightsBeginANewRound) {
+TEST(TrafficSplitterTest, NewWeightsBeginANewRound) {
   Route split = route("r", "h", "/");
   split.shares = {{ServiceName("a"), 1}, {ServiceName("b"), 1}};
-  SplitPicker picker(0);
+  TrafficSplitter picker(0);
   picker.pick(split);
   split.shares = {{ServiceName("a"), 0}, {ServiceName("b"), 1}};
   for (int i = 0; i < 10; ++i) {
@@ -86,16 +86,16 @@
 TEST(SharedRetryBudgetTest, NeverSpendsMoreThanItsPartAndTheRatio) {
   const ServiceName service("s");
   SharedRetryBudget budget({0.1, 32.0});
-  budget.setProcesses(16);
+  budget.setProcessCount(16);
   int spent = 0;
-  while (budget.spend(service)) {
+  while (budget.trySpend(service)) {
     ++spent;
   }
   EXPECT_EQ(spent, 2);
   constexpr int kRequests = 1000;
   for (int i = 0; i < kRequests; ++i) {
     budget.onRequest(service);
-    spent += budget.spend(service) ? 1 : 0;
+    spent += budget.trySpend(service) ? 1 : 0;
   }
   EXPECT_LE(spent, 2 + kRequests / 10);
   EXPECT_GE(spent, kRequests / 10 - 1);
@@ -103,9 +103,9 @@
 
 TEST(SharedRetryBudgetTest, ServicesDontShare) {
   SharedRetryBudget budget({0.0, 1.0});
-  EXPECT_TRUE(budget.spend(ServiceName("a")));
-  EXPECT_FALSE(budget.spend(ServiceName("a")));
-  EXPECT_TRUE(budget.spend(ServiceName("b")));
+  EXPECT_TRUE(budget.trySpend(ServiceName("a")));
+  EXPECT_FALSE(budget.trySpend(ServiceName("a")));
+  EXPECT_TRUE(budget.trySpend(ServiceName("b")));
 }
 
 struct PolicyRow {
@@ -118,14 +118,14 @@
   ForwardReason reason;
   bool reached_server;
   int status;
-  NextStep step;
+  RetryDecision step;
 };
 
 TEST(RetryPolicyTest, DecidesByProofKindAndTime) {
   using enum RouteKind;
   using enum ForwardReason;
   using Out = ForwardOutcome;
-  using Step = NextStep;
+  using Step = RetryDecision;
   const Duration plenty = milliseconds(900);
   const Duration little = milliseconds(10);
   const std::vector<PolicyRow> rows = {
@@ -168,14 +168,14 @@
   ForwardReplyFrame reply;
   reply.outcome = ForwardOutcome::NotRun;
   reply.reason = ForwardReason::NotYetOwner;
-  EXPECT_EQ(policy.decide(attempt, reply), NextStep::Refuse);
+  EXPECT_EQ(policy.decide(attempt, reply), RetryDecision::Refuse);
   reply.hint = {7, 0, 99, InstanceId("i-2"), NodeName("n-2")};
-  EXPECT_EQ(policy.decide(attempt, reply), NextStep::AwaitOwner);
+  EXPECT_EQ(policy.decide(attempt, reply), RetryDecision::AwaitOwner);
 }
 
 TEST(RetryPolicyTest, WithoutBudgetNothingThatReachedAServerIsRepeated) {
   SharedRetryBudget budget({0.0, 1.0});
-  while (budget.spend(ServiceName("s"))) {
+  while (budget.trySpend(ServiceName("s"))) {
   }
   RetryPolicy policy(budget);
   const Route on = route("r", "h", "/");
@@ -183,13 +183,13 @@
   reply.outcome = ForwardOutcome::Unknown;
   reply.reached_server = true;
   const AttemptState attempt{&on, ServiceName("s"), false, 1, milliseconds(900)};
-  EXPECT_EQ(policy.decide(attempt, reply), NextStep::Fail);
+  EXPECT_EQ(policy.decide(attempt, reply), RetryDecision::Fail);
   reply.outcome = ForwardOutcome::NotRun;
   reply.reason = ForwardReason::ServerRefused;
-  EXPECT_EQ(policy.decide(attempt, reply), NextStep::Refuse);
+  EXPECT_EQ(policy.decide(attempt, reply), RetryDecision::Refuse);
   reply.reached_server = false;
   reply.reason = ForwardReason::Overloaded;
-  EXPECT_EQ(policy.decide(attempt, reply), NextStep::TryAnother);
+  EXPECT_EQ(policy.decide(attempt, reply), RetryDecision::TryAnother);
 }
 
 }  // namespace
--- a/test/core_router/service_times_test.cc
+++ b/test/core_router/service_times_test.cc
@@ -10,12 +10,12 @@
 
 using std::chrono::milliseconds;
 
-TEST(ServiceTimesTest, LearnsEachRouteByItself) {
-  ServiceTimes times;
+TEST(DurationEstimatorTest, LearnsEachRouteByItself) {
+  DurationEstimator times;
   EXPECT_EQ(times.expected("short", milliseconds(70)), milliseconds(70));
   for (int i = 0; i < 200; ++i) {
-    times.note("short", milliseconds(20));
-    times.note("long", milliseconds(i % 2 == 0 ? 100 : 300));
+    times.record("short", milliseconds(20));
+    times.record("long", milliseconds(i % 2 == 0 ? 100 : 300));
   }
   EXPECT_LT(times.expected("short", {}), milliseconds(22));
   EXPECT_GE(times.expected("short", {}), milliseconds(20));
@@ -24,13 +24,13 @@
   EXPECT_LT(times.expected("long", {}), milliseconds(320));
 }
 
-TEST(ServiceTimesTest, FollowsAServerThatTurnsSlow) {
-  ServiceTimes times;
+TEST(DurationEstimatorTest, FollowsAServerThatTurnsSlow) {
+  DurationEstimator times;
   for (int i = 0; i < 50; ++i) {
-    times.note("r", milliseconds(50));
+    times.record("r", milliseconds(50));
   }
   for (int i = 0; i < 50; ++i) {
-    times.note("r", milliseconds(200));
+    times.record("r", milliseconds(200));
   }
   EXPECT_GT(times.expected("r", {}), milliseconds(190));
   times.reset();
--- a/test/core_router/start_rate_test.cc
+++ b/test/core_router/start_rate_test.cc
@@ -28,44 +28,44 @@
 constexpr std::uint32_t kSlots = 18;
 constexpr Duration kTick = milliseconds(25);
 
-TEST(StartRateTest, WithoutALimitAllStart) {
-  StartRate rate;
+TEST(StartRateLimiterTest, WithoutALimitAllStart) {
+  StartRateLimiter rate;
   for (int i = 0; i < 1000; ++i) {
-    EXPECT_EQ(rate.untilNext(kStart), Duration::zero());
+    EXPECT_EQ(rate.timeUntilNextStart(kStart), Duration::zero());
     rate.onStart(kStart);
   }
 }
 
-TEST(StartRateTest, StartsBeforeTheLimitWasSetCount) {
-  StartRate rate;
+TEST(StartRateLimiterTest, StartsBeforeTheLimitWasSetCount) {
+  StartRateLimiter rate;
   for (int i = 0; i < 20; ++i) {
     rate.onStart(kStart);
   }
   rate.setLimit(kColdRate);
-  EXPECT_GE(rate.untilNext(kStart), seconds(1));
-  EXPECT_EQ(rate.untilNext(kStart + milliseconds(1100)), Duration::zero());
+  EXPECT_GE(rate.timeUntilNextStart(kStart), seconds(1));
+  EXPECT_EQ(rate.timeUntilNextStart(kStart + milliseconds(1100)), Duration::zero());
 }
 
-TEST(StartRateTest, TellsTheWaitOfThoseFurtherBehind) {
-  StartRate rate;
+TEST(StartRateLimiterTest, TellsTheWaitOfThoseFurtherBehind) {
+  StartRateLimiter rate;
   rate.setLimit(2);
-  EXPECT_EQ(rate.untilNextBehind(1, kStart), Duration::zero());
-  EXPECT_EQ(rate.untilNextBehind(2, kStart), milliseconds(1100));
+  EXPECT_EQ(rate.timeUntilStartBehind(1, kStart), Duration::zero());
+  EXPECT_EQ(rate.timeUntilStartBehind(2, kStart), milliseconds(1100));
   rate.onStart(kStart);
-  EXPECT_EQ(rate.untilNext(kStart), Duration::zero());
-  EXPECT_EQ(rate.untilNextBehind(1, kStart), milliseconds(1100));
+  EXPECT_EQ(rate.timeUntilNextStart(kStart), Duration::zero());
+  EXPECT_EQ(rate.timeUntilStartBehind(1, kStart), milliseconds(1100));
   rate.onStart(kStart + milliseconds(500));
-  EXPECT_EQ(rate.untilNextBehind(0, kStart + milliseconds(500)), milliseconds(600));
-  EXPECT_EQ(rate.untilNextBehind(1, kStart + milliseconds(500)), milliseconds(1100));
-  EXPECT_EQ(rate.untilNextBehind(2, kStart + milliseconds(500)), milliseconds(1700));
+  EXPECT_EQ(rate.timeUntilStartBehind(0, kStart + milliseconds(500)), milliseconds(600));
+  EXPECT_EQ(rate.timeUntilStartBehind(1, kStart + milliseconds(500)), milliseconds(1100));
+  EXPECT_EQ(rate.timeUntilStartBehind(2, kStart + milliseconds(500)), milliseconds(1700));
 }
 
-TEST(StartRateTest, AnEarlierProcessMayHaveUsedItUp) {
-  StartRate rate;
+TEST(StartRateLimiterTest, AnEarlierProcessMayHaveUsedItUp) {
+  StartRateLimiter rate;
   rate.setLimit(kColdRate);
-  rate.assumeUsedUp(kStart);
-  EXPECT_GE(rate.untilNext(kStart), seconds(1));
-  EXPECT_EQ(rate.untilNext(kStart + seconds(2)), Duration::zero());
+  rate.assumeExhausted(kStart);
+  EXPECT_GE(rate.timeUntilNextStart(kStart), seconds(1));
+  EXPECT_EQ(rate.timeUntilNextStart(kStart + seconds(2)), Duration::zero());
 }
 
 /// One server's queue under a load that it can't bear while it is cold.
@@ -123,7 +123,7 @@
   void arrive(TimePoint now) {
     const QueueRank rank{1, 0, kObjective, now + seconds(6)};
     arrived_[++ticket_] = now;
-    const QueueDecision decision = queue_.arrive(ticket_, rank, now, kLongestWait);
+    const QueueDecision decision = queue_.admit(ticket_, rank, now, kLongestWait);
     if (decision.verdict == QueueVerdict::Start) {
       start(now);
     }
@@ -131,7 +131,7 @@
   }
 
   void noteLate(TimePoint now) {
-    for (const QueueTicket ticket : queue_.takeOverdue(now)) {
+    for (const QueueTicket ticket : queue_.removeOverdue(now)) {
       longest_wait_in_vain = std::max(longest_wait_in_vain, now - arrived_.at(ticket));
     }
   }
@@ -144,7 +144,7 @@
   void endWork(TimePoint now) {
     while (!ends_.empty() && ends_.front() <= now) {
       ends_.pop_front();
-      queue_.ended(kWork);
+      queue_.onRequestEnded(kWork);
     }
   }
 
--- a/test/core_router/tenant_turns_test.cc
+++ b/test/core_router/tenant_turns_test.cc
@@ -23,7 +23,7 @@
 std::map<std::string, int> served(SlotQueue& queue, const std::map<QueueTicket, std::string>& owners, int count) {
   std::map<std::string, int> counts;
   for (int i = 0; i < count; ++i) {
-    queue.ended(std::nullopt);
+    queue.onRequestEnded(std::nullopt);
     const auto ticket = queue.startNext(kNow);
     if (!ticket) {
       break;
@@ -33,59 +33,59 @@
   return counts;
 }
 
-TEST(TenantTurnsTest, SlotsGoByWeightHoweverManyWait) {
+TEST(TenantFairSchedulerTest, SlotsGoByWeightHoweverManyWait) {
   SlotQueue queue(1);
   std::map<QueueTicket, std::string> owners;
   QueueTicket ticket = 0;
-  queue.arrive(++ticket, tenant("first", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
+  queue.admit(++ticket, tenant("first", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
   for (int i = 0; i < 90; ++i) {
     owners[++ticket] = "surging";
-    queue.arrive(ticket, tenant("surging", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
+    queue.admit(ticket, tenant("surging", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
   }
   for (int i = 0; i < 30; ++i) {
     owners[++ticket] = "steady";
-    queue.arrive(ticket, tenant("steady", 2), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
+    queue.admit(ticket, tenant("steady", 2), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
   }
   const std::map<std::string, int> counts = served(queue, owners, 30);
   EXPECT_NEAR(counts.at("steady"), 20, 1);
   EXPECT_NEAR(counts.at("surging"), 10, 1);
 }
 
-TEST(TenantTurnsTest, PriorityGoesBeforeTurns) {
+TEST(TenantFairSchedulerTest, PriorityGoesBeforeTurns) {
   SlotQueue queue(1);
-  queue.arrive(1, tenant("a", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
+  queue.admit(1, tenant("a", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
   for (QueueTicket ticket = 2; ticket < 6; ++ticket) {
-    queue.arrive(ticket, tenant("a", 1), {1, 0, {}, kNow + kPatience}, kNow, kPatience);
+    queue.admit(ticket, tenant("a", 1), {1, 0, {}, kNow + kPatience}, kNow, kPatience);
   }
-  queue.arrive(6, tenant("a", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
-  queue.ended(std::nullopt);
+  queue.admit(6, tenant("a", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
+  queue.onRequestEnded(std::nullopt);
   EXPECT_EQ(queue.startNext(kNow), 6U);
 }
 
-TEST(TenantTurnsTest, FullTenantIsRefusedAloneAndMayComeBack) {
+TEST(TenantFairSchedulerTest, FullTenantIsRefusedAloneAndMayComeBack) {
   SlotQueue queue(1);
-  queue.arrive(1, tenant("a", 1, 2), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
-  EXPECT_EQ(queue.arrive(2, tenant("a", 1, 2), {}, kNow, kPatience).verdict, QueueVerdict::Wait);
-  EXPECT_EQ(queue.arrive(3, tenant("a", 1, 2), {}, kNow, kPatience).verdict, QueueVerdict::Wait);
-  EXPECT_EQ(queue.arrive(4, tenant("a", 1, 2), {}, kNow, kPatience).verdict, QueueVerdict::TenantFull);
-  EXPECT_EQ(queue.arrive(5, tenant("b", 1, 2), {}, kNow, kPatience).verdict, QueueVerdict::Wait);
+  queue.admit(1, tenant("a", 1, 2), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
+  EXPECT_EQ(queue.admit(2, tenant("a", 1, 2), {}, kNow, kPatience).verdict, QueueVerdict::Wait);
+  EXPECT_EQ(queue.admit(3, tenant("a", 1, 2), {}, kNow, kPatience).verdict, QueueVerdict::Wait);
+  EXPECT_EQ(queue.admit(4, tenant("a", 1, 2), {}, kNow, kPatience).verdict, QueueVerdict::TenantFull);
+  EXPECT_EQ(queue.admit(5, tenant("b", 1, 2), {}, kNow, kPatience).verdict, QueueVerdict::Wait);
   EXPECT_TRUE(queue.remove(3));
-  EXPECT_EQ(queue.arrive(6, tenant("a", 1, 2), {}, kNow, kPatience).verdict, QueueVerdict::Wait);
+  EXPECT_EQ(queue.admit(6, tenant("a", 1, 2), {}, kNow, kPatience).verdict, QueueVerdict::Wait);
 }
 
-TEST(TenantTurnsTest, IdleTimeEarnsNoCredit) {
+TEST(TenantFairSchedulerTest, IdleTimeEarnsNoCredit) {
   SlotQueue queue(1);
   std::map<QueueTicket, std::string> owners;
   QueueTicket ticket = 0;
-  queue.arrive(++ticket, tenant("first", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
+  queue.admit(++ticket, tenant("first", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
   for (int i = 0; i < 50; ++i) {
     owners[++ticket] = "busy";
-    queue.arrive(ticket, tenant("busy", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
+    queue.admit(ticket, tenant("busy", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
   }
   served(queue, owners, 30);
   for (int i = 0; i < 50; ++i) {
     owners[++ticket] = "late";
-    queue.arrive(ticket, tenant("late", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
+    queue.admit(ticket, tenant("late", 1), {0, 0, {}, kNow + kPatience}, kNow, kPatience);
   }
   const std::map<std::string, int> counts = served(queue, owners, 20);
   EXPECT_NEAR(counts.at("late"), 10, 1);
--- a/test/net/link_pacer_test.cc
+++ b/test/net/link_pacer_test.cc
@@ -17,7 +17,7 @@
 LinkConfig linkOf(double bytes_per_second) {
   LinkConfig config;
   config.bytes_per_second = bytes_per_second;
-  config.least_burst = 16U << 10U;
+  config.min_burst_bytes = 16U << 10U;
   return config;
 }
 
--- a/test/platform_adapter/protocols_test.cc
+++ b/test/platform_adapter/protocols_test.cc
@@ -27,7 +27,7 @@
   for (const char* text : {"", "ms", "5", "-1s", "5m", "1500 ms", "nans", "1e99s", "s5"}) {
     EXPECT_FALSE(parseDuration(text)) << text;
   }
-  EXPECT_EQ(durationText(std::chrono::microseconds(1999)), "1ms");
+  EXPECT_EQ(formatDuration(std::chrono::microseconds(1999)), "1ms");
 }
 
 TEST(ClientProtocolTest, ReadsWhatAClientSays) {
--- a/test/router/kind_poller_test.cc
+++ b/test/router/kind_poller_test.cc
@@ -19,7 +19,7 @@
  protected:
   KindPollerTest() { poller_.start(); }
 
-  static ListTimes times() {
+  static ListIntervals times() {
     return {milliseconds(40), std::chrono::hours(1), milliseconds(10), milliseconds(5), milliseconds(5)};
   }
 
--- a/test/router/recorders_test.cc
+++ b/test/router/recorders_test.cc
@@ -73,7 +73,7 @@
   GatewayRecorder recorder(time_, *log_, metrics_);
   ForwardReplyFrame reply;
   reply.reason = ForwardReason::Overloaded;
-  recorder.attemptEnded(request(), reply, NextStep::TryAnother, {0.5, milliseconds(40), 0});
+  recorder.attemptEnded(request(), reply, RetryDecision::TryAnother, {0.5, milliseconds(40), 0});
   const std::string line = logged();
   EXPECT_THAT(line, HasSubstr("gateway: event=attempt-ended "));
   EXPECT_THAT(line, HasSubstr(" id=r1 next=try-another reason=overloaded "));
@@ -163,7 +163,7 @@
   GatewayRecorder recorder(time_, *log_, metrics_);
   constexpr int kAttempts = 1000;
   for (int i = 0; i < kAttempts; ++i) {
-    recorder.attemptEnded(request(), {}, NextStep::TryAnother, {});
+    recorder.attemptEnded(request(), {}, RetryDecision::TryAnother, {});
   }
   EXPECT_EQ(log_->lost(), 950U);
   EXPECT_THAT(metrics_.text({}), HasSubstr("shedlever_retries_total{reason=\"none\"} 1000"));
--- a/test/router/router_settings_test.cc
+++ b/test/router/router_settings_test.cc
@@ -18,12 +18,12 @@
 TEST(RouterSettingsTest, QuarantineHasDefaultsAndIsChecked) {
   const auto defaults = parseRouterSettings(settingsWith(""));
   ASSERT_TRUE(defaults);
-  EXPECT_EQ(defaults->quarantine.ends, QuarantineConfig{}.ends);
-  EXPECT_EQ(defaults->quarantine.time, QuarantineConfig{}.time);
+  EXPECT_EQ(defaults->quarantine.crash_threshold, QuarantineConfig{}.crash_threshold);
+  EXPECT_EQ(defaults->quarantine.duration, QuarantineConfig{}.duration);
   const auto given = parseRouterSettings(settingsWith(R"(,"quarantine":{"ends":4,"time":"600s"})"));
   ASSERT_TRUE(given);
-  EXPECT_EQ(given->quarantine.ends, 4U);
-  EXPECT_EQ(given->quarantine.time, std::chrono::minutes(10));
+  EXPECT_EQ(given->quarantine.crash_threshold, 4U);
+  EXPECT_EQ(given->quarantine.duration, std::chrono::minutes(10));
   for (const char* wrong : {R"({"ends":1})", R"({"ends":"3"})", R"({"time":"0s"})", R"({"time":"90000s"})"}) {
     EXPECT_FALSE(parseRouterSettings(settingsWith(R"(,"quarantine":)" + std::string(wrong)))) << wrong;
   }
