--- a/test/core_router/quarantine/quarantine_spread_test.cc
+++ b/test/core_router/quarantine/quarantine_spread_test.cc
@@ -42,7 +42,7 @@
   void at(TimePoint time, std::function<void()> step) { steps_.emplace(time, std::move(step)); }
 
   /// @param cut a process that hears nothing, and is not heard.
-  void tellAll(std::size_t sender, const ServerEndsFrame& news) {
+  void tellAll(std::size_t sender, const ServerCrashesFrame& news) {
     for (std::size_t other = 0; other < processes(); ++other) {
       if (!news.empty() && other != sender && sender != cut && other != cut) {
         tell(other, news);
@@ -50,7 +50,7 @@
     }
   }
 
-  void tell(std::size_t receiver, const ServerEndsFrame& news) {
+  void tell(std::size_t receiver, const ServerCrashesFrame& news) {
     ++told;
     const Duration way = milliseconds(1 + draw(kMostNewsMs));
     at(now + way, [this, receiver, news] { tellAll(receiver, of(receiver).take(news, now)); });
@@ -215,7 +215,7 @@
     if (counts.ends == 3) {
       third_end_ = spread.now;
     }
-    const ServerEndId id{InstanceId("i-" + std::to_string(to)), server.life};
+    const ServerCrashId id{InstanceId("i-" + std::to_string(to)), server.life};
     spread.tellAll(to, spread.of(to).onOwnEnd(id, server.unanswered.takeAtEnd(), spread.now));
     for (const auto& [number, lost] : server.running) {
       if (!isFatal(lost.first) && lost.second > 0) {
@@ -328,7 +328,7 @@
     unanswered.begun(++number, hot);
     unanswered.begun(++number, {2, number});
     const std::size_t process = spread.draw(kProcesses);
-    const ServerEndId id{InstanceId("i"), end};
+    const ServerCrashId id{InstanceId("i"), end};
     spread.tellAll(process, spread.of(process).onOwnEnd(id, unanswered.takeAtEnd(), spread.now));
     ASSERT_TRUE(spread.runUntil(spread.now + seconds(1)));
   }
--- a/test/core_router/report_filter_test.cc
+++ b/test/core_router/report_filter_test.cc
@@ -36,10 +36,10 @@
 
 TEST(ReportFilterTest, OfOneServersLivesOnlyTheLatestCounts) {
   ReportFilter filter(ServiceName("s"), {"10.0.0.1", 80});
-  const auto life = [](ServerStart start, std::uint64_t sequence) {
+  const auto life = [](ServerStartMs start, std::uint64_t sequence) {
     ServerReport made = report("i-1", sequence);
     made.start = start;
-    made.instance = lifeOf(ServerId("i-1"), start);
+    made.instance = instanceIdOf(ServerId("i-1"), start);
     return made;
   };
   EXPECT_TRUE(filter.counts(life(2000, 5)));
--- a/test/core_router/restorable_store_test.cc
+++ b/test/core_router/restorable_store_test.cc
@@ -14,10 +14,10 @@
 
 class RestorableStoreTest : public ::testing::Test {
  protected:
-  /// The store answers a read in that era.
-  void hear(StoreEra era) {
+  /// The store answers a read in that epoch.
+  void hear(StoreEpoch epoch) {
     store_.get("k", "other", [](const StoreAnswer&) {});
-    raw_.gets.back().done({StoreStatus::Absent, {}, era});
+    raw_.gets.back().done({StoreStatus::Absent, {}, epoch});
   }
 
   MetadataStore::AnswerCallback keep() {
@@ -29,12 +29,13 @@
   }
 
   ScriptedStore raw_;
-  std::vector<std::pair<StoreEra, StoreEra>> restored_;
+  std::vector<std::pair<StoreEpoch, StoreEpoch>> restored_;
   int untold_ = 0;
   std::optional<StoreAnswer> answer_;
   std::optional<WatchResult> watched_;
   RestorableStore store_{
-      raw_, {[this](StoreEra before, StoreEra now) { restored_.emplace_back(before, now); }, [this] { ++untold_; }}};
+      raw_,
+      {[this](StoreEpoch before, StoreEpoch now) { restored_.emplace_back(before, now); }, [this] { ++untold_; }}};
 };
 
 TEST_F(RestorableStoreTest, TellsOfARiseButNotOfTheFirstEra) {
@@ -43,7 +44,7 @@
   hear(4);
   store_.noteEra(4);
   store_.noteEra(6);
-  EXPECT_EQ(restored_, (std::vector<std::pair<StoreEra, StoreEra>>{{3, 4}, {4, 6}}));
+  EXPECT_EQ(restored_, (std::vector<std::pair<StoreEpoch, StoreEpoch>>{{3, 4}, {4, 6}}));
 }
 
 TEST_F(RestorableStoreTest, RevisionsCarryTheEraOfTheirAnswer) {
--- a/test/core_router/restored_store_ownership_test.cc
+++ b/test/core_router/restored_store_ownership_test.cc
@@ -87,7 +87,7 @@
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
-// Until the table is of the store's era a process that starts has to wait for what it does not know.
+// Until the table is of the store's epoch a process that starts has to wait for what it does not know.
 TEST_P(RestoredStoreOwnershipTest, ProcessThatStartsLaterServesAtOnce) {
   world_.copyStore();
   world_.restoreStore();
@@ -112,11 +112,11 @@
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
-// What was granted unseen in the second era may be as new as the second rise.
+// What was granted unseen in the second epoch may be as new as the second rise.
 TEST_P(RestoredStoreOwnershipTest, SecondRestoreBeginsTheWaitAnew) {
   const auto era_of_table = [&] {
     const auto table = OwnerTable::decode(world_.table().value);
-    return table ? table.value().era() : 0;
+    return table ? table.value().epoch() : 0;
   };
   world_.copyStore();
   world_.restoreStore();
--- a/test/core_router/server_directory_test.cc
+++ b/test/core_router/server_directory_test.cc
@@ -93,16 +93,16 @@
   reply.service_us = 1000;
   reply.load = {0, 0, 10, 0, 800};
   directory_.onReply(NodeName("a"), "r", reply, kNow);
-  EXPECT_EQ(choose(RouteKind::OnceOnly, 100)["a"], 0);
+  EXPECT_EQ(choose(RouteKind::AtMostOnce, 100)["a"], 0);
   EXPECT_NEAR(directory_.failing(NodeName("a"), kNow + seconds(2)), 0.4, 0.01);
   EXPECT_LT(directory_.failing(NodeName("a"), kNow + seconds(10)), 0.03);
 }
 
 TEST_F(ServerDirectoryTest, TriedDrainingAndUnreachableServersAreLeftOut) {
-  EXPECT_EQ(choose(RouteKind::OnceOnly, 10, {InstanceId("i-a"), InstanceId("i-b"), InstanceId("i-c")})["none"], 10);
+  EXPECT_EQ(choose(RouteKind::AtMostOnce, 10, {InstanceId("i-a"), InstanceId("i-b"), InstanceId("i-c")})["none"], 10);
   directory_.markDraining(NodeName("a"));
   directory_.markUnreachable(NodeName("b"));
-  EXPECT_EQ(choose(RouteKind::OnceOnly, 10)["c"], 10);
+  EXPECT_EQ(choose(RouteKind::AtMostOnce, 10)["c"], 10);
   EXPECT_TRUE(directory_.isUnreachable(NodeName("b")));
   directory_.onReachable(NodeName("b"));
   EXPECT_FALSE(directory_.isUnreachable(NodeName("b")));
@@ -125,11 +125,11 @@
 
 TEST_F(ServerDirectoryTest, UnreachableServerIsNotChosenBeforeItAnswers) {
   directory_.markUnreachable(NodeName("a"));
-  const NodeRecord* later = directory_.choose(kService, RouteKind::OnceOnly, {}, kNow + seconds(60));
+  const NodeRecord* later = directory_.choose(kService, RouteKind::AtMostOnce, {}, kNow + seconds(60));
   ASSERT_NE(later, nullptr);
   EXPECT_NE(later->node, NodeName("a"));
   directory_.onReachable(NodeName("a"));
-  EXPECT_GT(choose(RouteKind::OnceOnly, 50)["a"], 0);
+  EXPECT_GT(choose(RouteKind::AtMostOnce, 50)["a"], 0);
 }
 
 TEST_F(ServerDirectoryTest, NewLifeOfANodeCountsAsReachable) {
--- a/test/core_router/server_presence_test.cc
+++ b/test/core_router/server_presence_test.cc
@@ -11,10 +11,10 @@
 class ServerPresenceTest : public ::testing::Test {
  protected:
   /// @param start 0: the server does not tell it.
-  static ServerReport report(const std::string& server, std::uint64_t sequence, ServerStart start = 0) {
+  static ServerReport report(const std::string& server, std::uint64_t sequence, ServerStartMs start = 0) {
     ServerReport made;
-    made.start = start == 0 ? std::nullopt : std::optional<ServerStart>(start);
-    made.instance = lifeOf(ServerId(server), made.start);
+    made.start = start == 0 ? std::nullopt : std::optional<ServerStartMs>(start);
+    made.instance = instanceIdOf(ServerId(server), made.start);
     made.service = ServiceName("s");
     made.address = {"10.0.0.1", 80};
     made.slots = 18;
@@ -78,7 +78,7 @@
   EXPECT_EQ(presence_.onReport(report("i-1", 1, 2000)), PresenceChange::NewLife);
   EXPECT_FALSE(presence_.draining());
   EXPECT_EQ(presence_.onReport(report("i-1", 51, 1000)), PresenceChange::None);
-  EXPECT_EQ(presence_.instance(), lifeOf(ServerId("i-1"), 2000));
+  EXPECT_EQ(presence_.instance(), instanceIdOf(ServerId("i-1"), 2000));
 }
 
 TEST_F(ServerPresenceTest, ServerThatIsDeadForSureMayStartAgainUnderItsId) {
@@ -97,7 +97,7 @@
 TEST_F(ServerPresenceTest, LeavingThatTellsNoStartIsThePresentLifes) {
   presence_.onReport(report("i-1", 1, 2000));
   ServerReport leaving = report("i-1", 2);
-  leaving.leaves = true;
+  leaving.leaving = true;
   EXPECT_TRUE(presence_.onLeaving(leaving));
 }
 
--- a/test/core_settings/settings_tree_test.cc
+++ b/test/core_settings/settings_tree_test.cc
@@ -119,10 +119,10 @@
     EXPECT_EQ(findings.list.size(), fault.expected.size()) << toString(findings);
     for (const Finding& expected : fault.expected) {
       const auto matches = [&expected](const Finding& finding) {
-        return finding.place == expected.place && finding.message.find(expected.message) != std::string::npos;
+        return finding.location == expected.location && finding.message.find(expected.message) != std::string::npos;
       };
       EXPECT_TRUE(std::any_of(findings.list.begin(), findings.list.end(), matches))
-          << "missing " << expected.place << ": " << expected.message << "\nfound\n"
+          << "missing " << expected.location << ": " << expected.message << "\nfound\n"
           << toString(findings);
     }
   }
--- a/test/interface/shedlever_client_protocol_test.cc
+++ b/test/interface/shedlever_client_protocol_test.cc
@@ -30,7 +30,7 @@
 class ShedleverInterfaceTest : public ::testing::Test {
  protected:
   ClientRequestInfo read(const HttpRequest& request) const {
-    return protocol_.read(request, config_.routes.at(0), &config_.services.at(ServiceName("s")));
+    return protocol_.readRequestInfo(request, config_.routes.at(0), &config_.services.at(ServiceName("s")));
   }
 
   ShedleverClientProtocol protocol_;
@@ -42,7 +42,7 @@
   EXPECT_EQ(config_.version, 7U);
   const Route& route = config_.routes.at(0);
   EXPECT_EQ(route.path_prefix, "/a/");
-  EXPECT_EQ(route.kind, RouteKind::OnceOnly);
+  EXPECT_EQ(route.kind, RouteKind::AtMostOnce);
   EXPECT_TRUE(route.needs_idempotency_key);
   EXPECT_EQ(route.timeout, milliseconds(9000));
   EXPECT_EQ(route.target_latency, milliseconds(300));
@@ -62,13 +62,13 @@
         return true;
       },
       [](const Findings& findings) {
-        EXPECT_EQ(findings.list.at(0).place, "services/s#/path_prefix");
+        EXPECT_EQ(findings.list.at(0).location, "services/s#/path_prefix");
         return false;
       },
       [] { return true; });
   EXPECT_FALSE(decoded);
-  EXPECT_FALSE(protocol.isPart("history.s"));
-  EXPECT_TRUE(protocol.isPart("deployment"));
+  EXPECT_FALSE(protocol.isConfigObject("history.s"));
+  EXPECT_TRUE(protocol.isConfigObject("deployment"));
 }
 
 TEST_F(ShedleverInterfaceTest, RequestTellsTenantKeyAndTime) {
@@ -117,13 +117,14 @@
                       "/a/k",
                       {{"Authorization", "Bearer alpha"}, {"Shedlever-Deadline", "1"}, {"Accept", "x"}, {"Host", "h"}},
                       {}};
-  protocol_.strip(request);
+  protocol_.removeRouterHeaders(request);
   ASSERT_EQ(request.headers.size(), 1U);
   EXPECT_EQ(request.headers.at(0).name, "Accept");
 }
 
 TEST_F(ShedleverInterfaceTest, UnsentRequestOnABrokenConnectionIsNoGatewayError) {
-  const HttpResponse answer = protocol_.refusal({RequestId("r"), Outcome::NotRun, Reason::ConnectionLost, {}});
+  const HttpResponse answer =
+      protocol_.makeRefusalResponse({RequestId("r"), Outcome::NotRun, Reason::ConnectionLost, {}});
   EXPECT_EQ(answer.status, 503);
   EXPECT_EQ(headerValue(answer.headers, "Shedlever-Outcome"), "not-run");
 }
--- a/test/net/router_codec_test.cc
+++ b/test/net/router_codec_test.cc
@@ -33,7 +33,7 @@
   frame.key = 65535;
   frame.remaining_us = 1'234'567;
   frame.target_us = 300'000;
-  frame.held_us = 40'000;
+  frame.elapsed_us = 40'000;
   frame.caller = ServiceName("maps");
   frame.http = {"GET", "/a?b", {{"Host", "h"}}, "body"};
   return frame;
@@ -47,7 +47,7 @@
   EXPECT_EQ(frame->kind, RouteKind::Download);
   EXPECT_EQ(frame->key, 65535);
   EXPECT_EQ(frame->remaining_us, 1'234'567);
-  EXPECT_EQ(frame->held_us, 40'000);
+  EXPECT_EQ(frame->elapsed_us, 40'000);
   EXPECT_EQ(frame->http.target, "/a?b");
   EXPECT_EQ(frame->http.headers, (std::vector<HttpHeader>{{"Host", "h"}}));
 }
@@ -65,7 +65,7 @@
   EXPECT_EQ(frame->reason, ForwardReason::NotOwner);
   EXPECT_EQ(frame->load.queued, 4U);
   EXPECT_EQ(frame->known.config.revision, 9U);
-  EXPECT_EQ(frame->known.config.at, 12U);
+  EXPECT_EQ(frame->known.config.synced_revision, 12U);
   EXPECT_EQ(frame->known.config.staleness_us, 1500);
   EXPECT_EQ(frame->hint.owner.value, "i-9");
   EXPECT_EQ(frame->hint.last, 199);
--- a/test/net/text_file_test.cc
+++ b/test/net/text_file_test.cc
@@ -28,7 +28,8 @@
         BOOST_LEAF_CHECK(readTextFile(path));
         return std::string("it was read");
       },
-      [](const Findings& findings) { return findings.list.front().place; }, [] { return std::string("no findings"); });
+      [](const Findings& findings) { return findings.list.front().location; },
+      [] { return std::string("no findings"); });
   EXPECT_EQ(place, path);
 }
 
--- a/test/platform_adapter/protocols_test.cc
+++ b/test/platform_adapter/protocols_test.cc
@@ -34,13 +34,13 @@
   const ClientProtocolImpl protocol;
   const HttpRequest request{
       "GET", "/", {{"x-request-id", "r1"}, {"X-Request-Deadline", "2000"}, {"X-Shard-Key", "65535"}}, {}};
-  const ClientRequestInfo info = protocol.read(request, {}, nullptr);
-  EXPECT_EQ(protocol.idOf(request).value, "r1");
+  const ClientRequestInfo info = protocol.readRequestInfo(request, {}, nullptr);
+  EXPECT_EQ(protocol.requestIdOf(request).value, "r1");
   EXPECT_EQ(info.refusal, Reason::None);
   EXPECT_EQ(info.time_left, milliseconds(2000));
   EXPECT_EQ(info.key, 65535);
-  const ClientRequestInfo bad =
-      protocol.read({"GET", "/", {{"X-Request-Deadline", "soon"}, {"X-Shard-Key", "65536"}}, {}}, {}, nullptr);
+  const ClientRequestInfo bad = protocol.readRequestInfo(
+      {"GET", "/", {{"X-Request-Deadline", "soon"}, {"X-Shard-Key", "65536"}}, {}}, {}, nullptr);
   EXPECT_FALSE(bad.time_left);
   EXPECT_FALSE(bad.key);
 }
@@ -62,7 +62,8 @@
                                         {Outcome::Unknown, Reason::BadReply, 502, ""}};
   const ClientProtocolImpl protocol;
   for (const RefusalRow& row : rows) {
-    const HttpResponse answer = protocol.refusal({RequestId("r1"), row.outcome, row.reason, milliseconds(250)});
+    const HttpResponse answer =
+        protocol.makeRefusalResponse({RequestId("r1"), row.outcome, row.reason, milliseconds(250)});
     EXPECT_EQ(answer.status, row.status) << toString(row.reason);
     EXPECT_EQ(headerValue(answer.headers, "Retry-After"), row.retry_after) << toString(row.reason);
   }
@@ -79,7 +80,7 @@
                        {"X-Shard-Key", "2"},
                        {"A", "b"}},
                       {}};
-  protocol.dress(
+  protocol.setRouterHeaders(
       request, {RequestId("r1"), InstanceId("i-1"), std::chrono::microseconds(1'500'900), ServiceName("maps"), Key{7}});
   EXPECT_EQ(headerValue(request.headers, "X-Request-Id"), "r1");
   EXPECT_EQ(headerValue(request.headers, "X-Shard-Key"), "7");
@@ -129,9 +130,9 @@
   EXPECT_FALSE(json::parse(protocol.grantRequest({0, 1, 1, milliseconds(1), {}}).body).contains("handover"));
   const HttpRequest release = protocol.releaseRequest({1, 2, 3});
   EXPECT_EQ(json::parse(release.body), json::parse(R"({"rangeStart":1,"targetVersion":2,"fence":3})"));
-  EXPECT_EQ(protocol.orderStatus({200, {}, {}}), OrderStatus::Done);
-  EXPECT_EQ(protocol.orderStatus({409, {}, {}}), OrderStatus::Superseded);
-  EXPECT_EQ(protocol.orderStatus({400, {}, {}}), OrderStatus::NoAnswer);
+  EXPECT_EQ(protocol.commandStatus({200, {}, {}}), CommandStatus::Done);
+  EXPECT_EQ(protocol.commandStatus({409, {}, {}}), CommandStatus::Superseded);
+  EXPECT_EQ(protocol.commandStatus({400, {}, {}}), CommandStatus::NoAnswer);
   EXPECT_EQ(protocol.handoverOf({200, {{"X-Handover", "h"}}, {}}), "h");
 }
 
@@ -148,10 +149,10 @@
   EXPECT_EQ(beat->slots, 18U);
   EXPECT_TRUE(beat->draining);
   EXPECT_EQ(beat->sequence, 4U);
-  EXPECT_FALSE(beat->leaves);
+  EXPECT_FALSE(beat->leaving);
   const auto leave = protocol.readReport(report("/instances/i-7/deregister", ""));
   ASSERT_TRUE(leave);
-  EXPECT_TRUE(leave->leaves);
+  EXPECT_TRUE(leave->leaving);
   for (const HttpRequest& bad :
        {report("/instances//heartbeat", "{}"), report("/instances/i/heartbeat", "x"), report("/instances/i/x", "{}"),
         report("/instances/i/j/heartbeat", R"({"service":"s","address":"10.0.0.1:80","slots":1})"),
@@ -167,7 +168,7 @@
   const auto beat = protocol.readReport(report("/instances/i-7/heartbeat", R"({"born":1778512004964,)" + rest));
   ASSERT_TRUE(beat);
   EXPECT_EQ(beat->start, 1778512004964U);
-  EXPECT_EQ(beat->instance, lifeOf(ServerId("i-7"), 1778512004964U));
+  EXPECT_EQ(beat->instance, instanceIdOf(ServerId("i-7"), 1778512004964U));
   const auto leave = protocol.readReport(report("/instances/i-7/deregister", R"({"born":1778512004964})"));
   ASSERT_TRUE(leave);
   EXPECT_EQ(leave->instance, beat->instance);
@@ -181,13 +182,13 @@
 // Servers know their id alone: only that goes to them, and comes back.
 TEST(ServerProtocolTest, ServersAreToldTheirIdWithoutTheirStart) {
   const ServerProtocolImpl protocol;
-  const InstanceId life = lifeOf(ServerId("i-1"), 1778512004964U);
+  const InstanceId life = instanceIdOf(ServerId("i-1"), 1778512004964U);
   HttpRequest request;
-  protocol.dress(request, {RequestId("r1"), life, seconds(1), ServiceName("c"), std::nullopt});
+  protocol.setRouterHeaders(request, {RequestId("r1"), life, seconds(1), ServiceName("c"), std::nullopt});
   EXPECT_EQ(headerValue(request.headers, "X-Expect-Instance"), "i-1");
   const HttpResponse not_held{421, {{"X-Request-Id", "r1"}, {"X-Not-Executed", "1"}, {"X-Instance-Id", "i-1"}}, {}};
   EXPECT_EQ(protocol.classify(not_held, RequestId("r1"), life, true), AnswerKind::KeyNotHeld);
-  EXPECT_EQ(protocol.serverOf({200, {{"X-Instance-Id", "i-1"}}, {}}), serverOf(life));
+  EXPECT_EQ(protocol.serverIdOf({200, {{"X-Instance-Id", "i-1"}}, {}}), serverIdOf(life));
 }
 
 TEST(ReportProtocolTest, ReadsKeysOfAHeartbeat) {
@@ -252,7 +253,7 @@
   const ReportProtocolImpl protocol;
   EXPECT_EQ(protocol.acknowledgement(nullptr).body, "{}");
   KeyAssignment keys;
-  keys.hold = std::chrono::seconds(4);
+  keys.hold_duration = std::chrono::seconds(4);
   keys.ranges = {{0, 4095, 7, ""}, {9000, 9999, 12, "7a21"}};
   EXPECT_EQ(protocol.acknowledgement(&keys).body,
             R"({"hold_time":"4000ms","holds":[[0,4095,7,""],[9000,9999,12,"7a21"]]})");
@@ -281,7 +282,7 @@
   const RouterConfig config = decodedOrEmpty(kConfig);
   EXPECT_EQ(config.version, 12U);
   ASSERT_EQ(config.routes.size(), 2U);
-  EXPECT_EQ(config.routes[0].kind, RouteKind::OnceOnly);
+  EXPECT_EQ(config.routes[0].kind, RouteKind::AtMostOnce);
   EXPECT_EQ(config.routes[0].timeout, milliseconds(1200));
   EXPECT_EQ(config.routes[0].shares.size(), 1U);
   EXPECT_EQ(config.routes[1].kind, RouteKind::Download);
@@ -308,7 +309,7 @@
       [](const Findings& findings) {
         std::vector<std::string> found;
         for (const Finding& finding : findings.list) {
-          found.push_back(finding.place);
+          found.push_back(finding.location);
         }
         return found;
       },
@@ -364,7 +365,7 @@
   StoreListing listing;
   store_.list("k", ListFreshness::Latest, [&](const StoreListing& told) { listing = told; });
   EXPECT_TRUE(listing.available);
-  EXPECT_EQ(listing.at, 7U);
+  EXPECT_EQ(listing.revision, 7U);
   ASSERT_EQ(listing.objects.size(), 1U);
   EXPECT_EQ(listing.objects[0].value, R"({"a":1})");
   EXPECT_EQ(requests_[1].target, "/objects/k?after=n");
@@ -401,7 +402,7 @@
   WatchResult result;
   store_.watch("k", 6, std::chrono::seconds(20), [&](const WatchResult& told) { result = told; });
   EXPECT_EQ(result.status, WatchStatus::Events);
-  EXPECT_EQ(result.at, 8U);
+  EXPECT_EQ(result.revision, 8U);
   EXPECT_EQ(result.events.size(), 1U);
   EXPECT_EQ(unreadable_.size(), 9U);
 }
@@ -411,7 +412,7 @@
   WatchResult result;
   store_.check("k", 6, [&](const WatchResult& told) { result = told; });
   EXPECT_EQ(requests_[0].target, "/objects/k?watch=6&waitMs=1");
-  EXPECT_EQ(connections_[0], StoreConnection::Fresh);
+  EXPECT_EQ(connections_[0], StoreConnection::New);
   EXPECT_EQ(result.status, WatchStatus::Events);
   ASSERT_EQ(result.events.size(), 1U);
 }
@@ -422,7 +423,7 @@
   store_.watch("k", 6, std::chrono::seconds(20), [&](const WatchResult& told) { result = told; });
   EXPECT_EQ(requests_[0].target, "/objects/k?watch=6&waitMs=20000");
   EXPECT_EQ(result.status, WatchStatus::Events);
-  EXPECT_EQ(result.at, 8U);
+  EXPECT_EQ(result.revision, 8U);
   ASSERT_EQ(result.events.size(), 1U);
   EXPECT_TRUE(result.events[0].deleted);
   requests_.clear();
@@ -437,13 +438,13 @@
   StoreAnswer answer;
   const auto keep = [&](const StoreAnswer& told) { answer = told; };
   store_.get("k", "n", keep);
-  EXPECT_EQ(answer.era, 3U);
+  EXPECT_EQ(answer.epoch, 3U);
   EXPECT_EQ(answer.object.revision, StoreRevision(3, 5));
   requests_.clear();
   answers_ = {HttpResponse{410, in_era, {}}};
   WatchResult result;
   store_.watch("k", {3, 6}, std::chrono::seconds(20), [&](const WatchResult& told) { result = told; });
-  EXPECT_EQ(result.era, 3U);
+  EXPECT_EQ(result.epoch, 3U);
   EXPECT_EQ(requests_[0].target, "/objects/k?watch=6&waitMs=20000");
 }
 
@@ -454,7 +455,7 @@
     StoreAnswer answer;
     store_.get("k", "n", [&](const StoreAnswer& given) { answer = given; });
     EXPECT_EQ(answer.status, StoreStatus::Done);
-    EXPECT_EQ(answer.era, 0U) << told;
+    EXPECT_EQ(answer.epoch, 0U) << told;
   }
 }
 
--- a/test/router/cluster_knowledge_test.cc
+++ b/test/router/cluster_knowledge_test.cc
@@ -19,7 +19,7 @@
 class NoConfig final : public ConfigProtocol {
  public:
   std::string kind() const override { return "config"; }
-  bool isPart(const std::string&) const override { return false; }
+  bool isConfigObject(const std::string&) const override { return false; }
   leaf::result<RouterConfig> decode(const ObjectsByName&) const override { return RouterConfig{}; }
 };
 
--- a/test/router/event_log_test.cc
+++ b/test/router/event_log_test.cc
@@ -61,7 +61,7 @@
     kept += log.mayWriteFailed() ? 1 : 0;
   }
   EXPECT_EQ(kept, 100);
-  EXPECT_EQ(log.lost(), 900U);
+  EXPECT_EQ(log.droppedLines(), 900U);
   time_.runFor(std::chrono::milliseconds(500), [] {});
   for (int i = 0; i < kRequests; ++i) {
     kept += log.mayWriteFailed() ? 1 : 0;
@@ -76,7 +76,7 @@
     log.write("part", "event", {{"value", long_value}});
     log.flush();
   }
-  EXPECT_GT(log.lost(), 0U);
+  EXPECT_GT(log.droppedLines(), 0U);
 }
 
 }  // namespace
--- a/test/router/gateway_test.cc
+++ b/test/router/gateway_test.cc
@@ -53,7 +53,7 @@
         directory_(self_.name, ZoneName("z"), {}, random_),
         links_(loop_, clock_, self_, directory_,
                {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
-                [](const OwnerTableFrame&) {}, [] { return ServerEndsFrame{}; }, [](const ServerEndsFrame&) {}}),
+                [](const OwnerTableFrame&) {}, [] { return ServerCrashesFrame{}; }, [](const ServerCrashesFrame&) {}}),
         gateway_(self_, ServiceName("own"), {1.0, 100}, ports()) {
     RouterConfig config;
     config.version = 1;
@@ -104,8 +104,8 @@
     return made;
   }
 
-  GatewayDependencies ports() {
-    GatewayDependencies ports;
+  GatewayPorts ports() {
+    GatewayPorts ports;
     ports.loop = &loop_;
     ports.clock = &clock_;
     ports.random = &random_;
@@ -117,7 +117,7 @@
     ports.metrics = &metrics_;
     ports.owner_of = [](const ServiceName&, Key) { return KeyOwner{}; };
     ports.on_hint = [](const ServiceName&, const OwnerHint&) {};
-    ports.on_known = [](const NodeName&, const ServiceName&, const KnownRevisions&) {};
+    ports.on_known_revisions = [](const NodeName&, const ServiceName&, const KnownRevisions&) {};
     return ports;
   }
 
--- a/test/router/kind_watcher_test.cc
+++ b/test/router/kind_watcher_test.cc
@@ -154,14 +154,14 @@
   EXPECT_TRUE(store_.checks.empty());
   EXPECT_EQ(watcher_.news().revision, 5U);
   EXPECT_EQ(watcher_.news().staleness_us, 1000);
-  EXPECT_EQ(watcher_.news().at, 30U);
+  EXPECT_EQ(watcher_.news().synced_revision, 30U);
   // The store may have forgotten what was before.
   pass(milliseconds(1600));
   ASSERT_EQ(store_.checks.size(), 1U);
   EXPECT_EQ(store_.checks.back().object.revision, 30U);
   answerCheck({WatchStatus::Events, 31, {}});
   watcher_.onTold({5, 30, 1000});
-  EXPECT_EQ(watcher_.news().at, 31U);
+  EXPECT_EQ(watcher_.news().synced_revision, 31U);
   // Who knows nothing of the kind has nothing to tell.
   pass(milliseconds(200));
   const auto before = watcher_.news().staleness_us;
--- a/test/router/peer_links_test.cc
+++ b/test/router/peer_links_test.cc
@@ -19,7 +19,8 @@
       : directory_(NodeName("self"), ZoneName("z"), {}, random_),
         links_(loop_, clock_, {NodeName("self"), Incarnation{1}}, directory_,
                {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
-                [](const OwnerTableFrame&) {}, [] { return ServerEndsFrame{}; }, [](const ServerEndsFrame&) {}}) {}
+                [](const OwnerTableFrame&) {}, [] { return ServerCrashesFrame{}; }, [](const ServerCrashesFrame&) {}}) {
+  }
 
   void knowNodeAt(const Endpoint& endpoint) {
     NodeRecord record;
@@ -62,7 +63,7 @@
 TEST_F(PeerLinksTest, OnceOnlyRequestAtASilentNodeIsNeverCalledNotRun) {
   ScriptedServer silent(loop_, [](ScriptedConnection&) {});
   knowNodeAt(silent.endpoint());
-  EXPECT_EQ(forward(RouteKind::OnceOnly).outcome, ForwardOutcome::Unknown);
+  EXPECT_EQ(forward(RouteKind::AtMostOnce).outcome, ForwardOutcome::Unknown);
 }
 
 // Seen at 83 nodes, a third of them without a way to the store, the one that watched it among them: replies told ages
@@ -89,7 +90,7 @@
 
 TEST_F(PeerLinksTest, RequestThatCouldNotBeSentHasNotRun) {
   knowNodeAt(closedEndpoint(loop_));
-  const ForwardReplyFrame reply = forward(RouteKind::OnceOnly);
+  const ForwardReplyFrame reply = forward(RouteKind::AtMostOnce);
   EXPECT_EQ(reply.outcome, ForwardOutcome::NotRun);
   EXPECT_TRUE(directory_.isUnreachable(node_));
 }
@@ -99,7 +100,7 @@
 TEST_F(PeerLinksTest, ProcessOfAnotherNodeAtItsAddressIsNotTakenForTheNode) {
   FakePeer stranger(loop_, {NodeName("stranger"), Incarnation{7}});
   knowNodeAt(stranger.endpoint());
-  const ForwardReplyFrame reply = forward(RouteKind::OnceOnly);
+  const ForwardReplyFrame reply = forward(RouteKind::AtMostOnce);
   EXPECT_EQ(reply.outcome, ForwardOutcome::NotRun);
   EXPECT_EQ(reply.reason, ForwardReason::ServerDown);
   EXPECT_TRUE(directory_.isUnreachable(node_));
@@ -132,7 +133,7 @@
 }
 
 TEST_F(PeerLinksTest, RequestToAnUnknownNodeHasNotRun) {
-  EXPECT_EQ(forward(RouteKind::OnceOnly).outcome, ForwardOutcome::NotRun);
+  EXPECT_EQ(forward(RouteKind::AtMostOnce).outcome, ForwardOutcome::NotRun);
 }
 
 }  // namespace
--- a/test/router/recorders_test.cc
+++ b/test/router/recorders_test.cc
@@ -144,19 +144,19 @@
 
 TEST(ServerResultTest, OnlyAnAnswerThatIsNoServerErrorIsAGoodRun) {
   ServerResult result;
-  EXPECT_FALSE(result.ranWell());
+  EXPECT_FALSE(result.succeeded());
   result.outcome = ForwardOutcome::Answered;
   result.http.status = 200;
-  EXPECT_TRUE(result.ranWell());
+  EXPECT_TRUE(result.succeeded());
   result.http.status = 404;
-  EXPECT_TRUE(result.ranWell());
+  EXPECT_TRUE(result.succeeded());
   for (const int failed : {500, 504}) {
     result.http.status = failed;
-    EXPECT_FALSE(result.ranWell());
+    EXPECT_FALSE(result.succeeded());
   }
   result.outcome = ForwardOutcome::NotRun;
   result.http.status = 200;
-  EXPECT_FALSE(result.ranWell());
+  EXPECT_FALSE(result.succeeded());
 }
 
 TEST_F(RecordersTest, AttemptLinesAreBounded) {
@@ -165,12 +165,12 @@
   for (int i = 0; i < kAttempts; ++i) {
     recorder.attemptEnded(request(), {}, NextStep::TryAnother, {});
   }
-  EXPECT_EQ(log_->lost(), 950U);
+  EXPECT_EQ(log_->droppedLines(), 950U);
   EXPECT_THAT(metrics_.text({}), HasSubstr("shedlever_retries_total{reason=\"none\"} 1000"));
 }
 
 TEST_F(RecordersTest, LevelsStandAsTheyWereWhenAsked) {
-  RouterLevels levels;
+  RouterGauges levels;
   levels.load = {3, 2, 18, 500};
   levels.config_version = 12;
   levels.config_age = milliseconds(1500);
--- a/test/router/restored_knowledge_test.cc
+++ b/test/router/restored_knowledge_test.cc
@@ -22,9 +22,9 @@
 class VersionAlone final : public ConfigProtocol {
  public:
   std::string kind() const override { return kConfigKind; }
-  bool isPart(const std::string&) const override { return true; }
+  bool isConfigObject(const std::string&) const override { return true; }
   std::string evacuationKind() const override { return kZoneKind; }
-  bool operatorsCountVersions() const override { return counted_by_operators; }
+  bool hasOperatorVersions() const override { return counted_by_operators; }
   leaf::result<RouterConfig> decode(const ObjectsByName& parts) const override {
     RouterConfig config;
     config.version = std::stoull(parts.begin()->second.value);
@@ -57,15 +57,15 @@
   void answerLists(const std::string& kind, const StoreRevision& at, const std::vector<MetadataObject>& objects) {
     std::erase_if(store_.lists, [&](const auto& call) {
       if (call.kind == kind) {
-        call.done({true, at, objects, at.era});
+        call.done({true, at, objects, at.epoch});
       }
       return call.kind == kind;
     });
   }
 
   /// The store comes back from a copy, and that kind is listed anew.
-  void restore(StoreEra era, const std::string& kind) {
-    store_.present_era = era;
+  void restore(StoreEpoch epoch, const std::string& kind) {
+    store_.present_era = epoch;
     knowledge_.onStoreRestored();
     const auto is_asked = [&] {
       return std::any_of(store_.lists.begin(), store_.lists.end(), [&](const auto& call) { return call.kind == kind; });
--- a/test/router/status_pages_test.cc
+++ b/test/router/status_pages_test.cc
@@ -16,7 +16,7 @@
  public:
   std::optional<ServerReport> readReport(const HttpRequest&) const override { return std::nullopt; }
   HttpResponse acknowledgement(const KeyAssignment*) const override { return {}; }
-  bool asksReadiness(const HttpRequest& request) const override { return request.target == "/ready"; }
+  bool isReadinessRequest(const HttpRequest& request) const override { return request.target == "/ready"; }
 };
 
 class StatusPagesTest : public ::testing::Test {
--- a/test/router/store_caller_test.cc
+++ b/test/router/store_caller_test.cc
@@ -27,7 +27,7 @@
     EXPECT_TRUE(loop_.runUntil([this] { return !links_.connected().empty(); }, kTestCap));
   }
 
-  int call(StoreConnection connection = StoreConnection::Kept) {
+  int call(StoreConnection connection = StoreConnection::Reused) {
     std::optional<std::optional<HttpResponse>> answer;
     access_.call({{"GET", "/objects/k", {}, {}}, std::chrono::seconds(4), connection},
                  [&answer](std::optional<HttpResponse> told) { answer = std::move(told); });
@@ -49,12 +49,13 @@
                           }
                         }};
   ServerDirectory directory_{NodeName("self"), ZoneName("z"), {}, random_};
-  PeerLinks links_{loop_,
-                   clock_,
-                   {NodeName("self"), Incarnation{1}},
-                   directory_,
-                   {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
-                    [](const OwnerTableFrame&) {}, [] { return ServerEndsFrame{}; }, [](const ServerEndsFrame&) {}}};
+  PeerLinks links_{
+      loop_,
+      clock_,
+      {NodeName("self"), Incarnation{1}},
+      directory_,
+      {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
+       [](const OwnerTableFrame&) {}, [] { return ServerCrashesFrame{}; }, [](const ServerCrashesFrame&) {}}};
   EventLog log_{loop_, clock_, dup(STDERR_FILENO)};
   RouterMetrics metrics_;
   StoreAccess access_{loop_, clock_, store_.endpoint(), links_, log_, metrics_};
@@ -84,13 +85,13 @@
   EXPECT_EQ(call(), 200);
   const std::size_t kept = store_.accepted();
   EXPECT_EQ(kept, 1U);
-  EXPECT_EQ(call(StoreConnection::Fresh), 200);
-  EXPECT_EQ(call(StoreConnection::Fresh), 200);
+  EXPECT_EQ(call(StoreConnection::New), 200);
+  EXPECT_EQ(call(StoreConnection::New), 200);
   EXPECT_EQ(store_.accepted(), kept + 2);
 }
 
 TEST_F(StoreAccessTest, RefusedCheckIsNotPassedToAPeer) {
-  EXPECT_EQ(call(StoreConnection::Fresh), kUnavailable);
+  EXPECT_EQ(call(StoreConnection::New), kUnavailable);
   EXPECT_EQ(peer_.store_calls, 0U);
 }
 
--- a/test/support/fake_peer.h
+++ b/test/support/fake_peer.h
@@ -53,9 +53,9 @@
       const RouterFrame frame = decodeRouterFrame(message).value();
       if (std::holds_alternative<HelloFrame>(frame)) {
         stream.send(encodeRouterFrame(HelloFrame{peer.identity_.name, peer.identity_.incarnation, false, {}}));
-      } else if (const auto* settle = std::get_if<SettleFrame>(&frame)) {
+      } else if (const auto* settle = std::get_if<ExchangeQueryFrame>(&frame)) {
         ++peer.settles;
-        stream.send(encodeRouterFrame(SettleReplyFrame{settle->exchange, SettleState::NotBegun}));
+        stream.send(encodeRouterFrame(ExchangeQueryReplyFrame{settle->exchange, ExchangeState::NotStarted}));
       } else if (const auto* call = std::get_if<StoreCallFrame>(&frame)) {
         ++peer.store_calls;
         stream.send(encodeRouterFrame(StoreReplyFrame{call->exchange, true, {peer.store_status, {}, {}}}));
--- a/test/support/router_cluster.cc
+++ b/test/support/router_cluster.cc
@@ -161,7 +161,7 @@
   adapters.servers = &servers_;
   adapters.reports = &reports_;
   adapters.config = &config_;
-  adapters.make_store = [](StoreCaller caller, UnreadableEntry on_unreadable) {
+  adapters.make_store = [](StoreCaller caller, UnreadableEntryCallback on_unreadable) {
     return std::make_unique<platform::PlatformStore>(std::move(caller), std::move(on_unreadable));
   };
   node.router =
--- a/test/support/scripted_store.h
+++ b/test/support/scripted_store.h
@@ -43,10 +43,10 @@
     checks.push_back({kind, {"", after, {}}, std::move(done)});
   }
 
-  StoreEra era() const override { return present_era; }
+  StoreEpoch epoch() const override { return present_era; }
 
   /// As heard of.
-  StoreEra present_era = 0;
+  StoreEpoch present_era = 0;
   /// Calls so far, the oldest first. A test answers one by calling its `done`.
   std::deque<Call<AnswerCallback>> gets;
   std::deque<Call<AnswerCallback>> creates;
