--- a/source/core/router/quarantine/crash_quarantine.cc
+++ b/source/core/router/quarantine/crash_quarantine.cc
@@ -22,9 +22,9 @@
 
 Duration::rep ageOf(TimePoint at, TimePoint now) { return std::max((now - at).count(), Duration::rep{0}); }
 
-void appendCrashes(std::map<ServerEndId, ServerEnd>&& ends, ServerEndsFrame& news) {
+void appendCrashes(std::map<ServerCrashId, ServerCrash>&& ends, ServerCrashesFrame& news) {
   for (auto& [unused, crash] : ends) {
-    news.ends.push_back(std::move(crash));
+    news.crashes.push_back(std::move(crash));
   }
 }
 
@@ -32,13 +32,13 @@
 
 // News.
 
-ServerEndsFrame CrashQuarantine::onLocalCrash(const ServerEndId& id, const std::vector<RequestFingerprint>& unanswered,
+ServerCrashesFrame CrashQuarantine::onLocalCrash(const ServerCrashId& id, const std::vector<RequestFingerprint>& unanswered,
                                               TimePoint now) {
-  ServerEndsFrame news;
+  ServerCrashesFrame news;
   if (unanswered.empty() || !addCrash(id, {now, unanswered, true})) {
     return news;
   }
-  std::map<ServerEndId, ServerEnd> told;
+  std::map<ServerCrashId, ServerCrash> told;
   told[id] = toMessage(*crashes_.find(id), now);
   for (const RequestFingerprint& request : unanswered) {
     if (countedCrashes(request) >= kSoleSuspectCrashes) {
@@ -49,10 +49,10 @@
   return news;
 }
 
-ServerEndsFrame CrashQuarantine::merge(const ServerEndsFrame& told, TimePoint now) {
-  ServerEndsFrame news;
-  std::map<ServerEndId, ServerEnd> passed_on;
-  for (const ServerEnd& crash : told.ends) {
+ServerCrashesFrame CrashQuarantine::merge(const ServerCrashesFrame& told, TimePoint now) {
+  ServerCrashesFrame news;
+  std::map<ServerCrashId, ServerCrash> passed_on;
+  for (const ServerCrash& crash : told.crashes) {
     const TimePoint at = now - Duration(crash.age_us);
     if (now - at > config_.duration || !addCrash(crash.id, {at, crash.unanswered, false})) {
       continue;
@@ -80,7 +80,8 @@
   return news;
 }
 
-ServerEndsFrame CrashQuarantine::onServed(const RequestFingerprint& request, std::uint64_t seen_at_us, TimePoint now) {
+ServerCrashesFrame CrashQuarantine::onServed(const RequestFingerprint& request, std::uint64_t seen_at_us,
+                                             TimePoint now) {
   const auto found = suspects_.find(request);
   if (found == suspects_.end()) {
     return {};
@@ -89,12 +90,12 @@
   // Clocks of machines differ: what comes later must also look later.
   const ServedSuspect served{request, std::max(seen_at_us, found->second.served_at_unix_us + 1), 0};
   recordServed(served, now);
-  return others_count ? ServerEndsFrame{{}, {served}} : ServerEndsFrame{};
+  return others_count ? ServerCrashesFrame{{}, {served}} : ServerCrashesFrame{};
 }
 
-ServerEndsFrame CrashQuarantine::summary(TimePoint now) const {
-  std::map<ServerEndId, ServerEnd> told;
-  ServerEndsFrame news;
+ServerCrashesFrame CrashQuarantine::summary(TimePoint now) const {
+  std::map<ServerCrashId, ServerCrash> told;
+  ServerCrashesFrame news;
   for (const auto& crash : crashes_) {
     if (now - crash.second.at <= kRecentCrashAge) {
       told.emplace(crash.first, toMessage(crash, now));
@@ -113,19 +114,19 @@
 }
 
 void CrashQuarantine::collectCrashes(const RequestFingerprint& request, TimePoint now,
-                                     std::map<ServerEndId, ServerEnd>& found) const {
-  for (const ServerEndId& id : suspects_.at(request).crashes) {
+                                     std::map<ServerCrashId, ServerCrash>& found) const {
+  for (const ServerCrashId& id : suspects_.at(request).crashes) {
     found.try_emplace(id, toMessage(*crashes_.find(id), now));
   }
 }
 
-ServerEnd CrashQuarantine::toMessage(const Crashes::value_type& crash, TimePoint now) const {
+ServerCrash CrashQuarantine::toMessage(const Crashes::value_type& crash, TimePoint now) const {
   return {crash.first, ageOf(crash.second.at, now), crash.second.unanswered};
 }
 
 // What is known.
 
-bool CrashQuarantine::addCrash(const ServerEndId& id, Crash crash) {
+bool CrashQuarantine::addCrash(const ServerCrashId& id, Crash crash) {
   if (crashes_.contains(id)) {
     return false;
   }
@@ -197,7 +198,7 @@
 }
 
 std::size_t CrashQuarantine::countedCrashes(const Suspect& suspect) const {
-  const auto counts = [this, &suspect](const ServerEndId& id) { return crashes_.at(id).at > suspect.served_at; };
+  const auto counts = [this, &suspect](const ServerCrashId& id) { return crashes_.at(id).at > suspect.served_at; };
   return static_cast<std::size_t>(std::count_if(suspect.crashes.begin(), suspect.crashes.end(), counts));
 }
 
@@ -212,7 +213,7 @@
     return 0;
   }
   const Suspect& suspect = found->second;
-  const auto counts = [this, &suspect, time](const ServerEndId& id) {
+  const auto counts = [this, &suspect, time](const ServerCrashId& id) {
     const TimePoint at = crashes_.at(id).at;
     return at > suspect.served_at && at <= time;
   };
@@ -233,7 +234,7 @@
 void CrashQuarantine::reevaluate(const RequestFingerprint& request, Suspect& suspect) {
   bool proved = false;
   TimePoint last{};
-  for (const ServerEndId& id : suspect.crashes) {
+  for (const ServerCrashId& id : suspect.crashes) {
     const Crash& crash = crashes_.at(id);
     if (crash.at > suspect.served_at) {
       last = std::max(last, crash.at);
@@ -245,7 +246,7 @@
 
 void CrashQuarantine::reevaluateAffected(const RequestFingerprint& request) {
   std::set<RequestFingerprint> affected;
-  for (const ServerEndId& id : suspects_.at(request).crashes) {
+  for (const ServerCrashId& id : suspects_.at(request).crashes) {
     const Crash& crash = crashes_.at(id);
     affected.insert(crash.unanswered.begin(), crash.unanswered.end());
   }
@@ -295,8 +296,8 @@
     }
     Quarantined& one = all.emplace_back(Quarantined{request, suspect.quarantinedUntil(), {}, suspect.in_own_record});
     std::copy_if(suspect.crashes.begin(), suspect.crashes.end(), std::back_inserter(one.crashes),
-                 [this, &suspect = suspect](const ServerEndId& id) { return crashes_.at(id).at > suspect.served_at; });
-    std::sort(one.crashes.begin(), one.crashes.end(), [this](const ServerEndId& left, const ServerEndId& right) {
+                 [this, &suspect = suspect](const ServerCrashId& id) { return crashes_.at(id).at > suspect.served_at; });
+    std::sort(one.crashes.begin(), one.crashes.end(), [this](const ServerCrashId& left, const ServerCrashId& right) {
       return crashes_.at(left).at < crashes_.at(right).at;
     });
   }
--- a/source/core/router/quarantine/crash_quarantine.h
+++ b/source/core/router/quarantine/crash_quarantine.h
@@ -37,19 +37,20 @@
 
   /// A server beside this process ended.
   /// @return what all others are to be told.
-  ServerEndsFrame onLocalCrash(const ServerEndId& id, const std::vector<RequestFingerprint>& unanswered, TimePoint now);
+  ServerCrashesFrame onLocalCrash(const ServerCrashId& id, const std::vector<RequestFingerprint>& unanswered,
+                              TimePoint now);
 
   /// Another process has told this.
   /// @return what is to be passed on to others; empty where nothing is new, or nothing points at one request yet.
-  ServerEndsFrame merge(const ServerEndsFrame& told, TimePoint now);
+  ServerCrashesFrame merge(const ServerCrashesFrame& told, TimePoint now);
 
   /// A server has run the request and answered it.
   /// @param seen_at_us time of day, in microseconds since 1970.
   /// @return what all others are to be told; empty unless they may be counting ends against it.
-  ServerEndsFrame onServed(const RequestFingerprint& request, std::uint64_t seen_at_us, TimePoint now);
+  ServerCrashesFrame onServed(const RequestFingerprint& request, std::uint64_t seen_at_us, TimePoint now);
 
   /// @return what a process should know that has just been reached.
-  ServerEndsFrame summary(TimePoint now) const;
+  ServerCrashesFrame summary(TimePoint now) const;
 
   /// A node's record names the request as quarantined.
   /// @param own_record whether it is the record of this node, which goes on naming it.
@@ -65,7 +66,7 @@
     RequestFingerprint request;
     TimePoint until{};
     /// Ends that count against it, oldest first; none where only a record tells of it.
-    std::vector<ServerEndId> crashes;
+    std::vector<ServerCrashId> crashes;
     /// This node's record is to name it: it saw one of the ends, or its record has named it before.
     bool in_own_record = false;
   };
@@ -82,11 +83,11 @@
     std::vector<RequestFingerprint> unanswered;
     bool is_local = false;
   };
-  using Crashes = std::map<ServerEndId, Crash>;
+  using Crashes = std::map<ServerCrashId, Crash>;
 
   struct Suspect {
     /// Ends at which it was unanswered, in no order; also those before it was served.
-    std::vector<ServerEndId> crashes;
+    std::vector<ServerCrashId> crashes;
     TimePoint served_at{};
     /// Time of day of the same; 0 before the first.
     std::uint64_t served_at_unix_us = 0;
@@ -101,7 +102,7 @@
     bool isQuarantined() const { return quarantinedUntil() != TimePoint{}; }
   };
 
-  bool addCrash(const ServerEndId& id, Crash crash);
+  bool addCrash(const ServerCrashId& id, Crash crash);
   void dropCrash(Crashes::iterator crash);
   /// @return whether it was news.
   bool recordServed(const ServedSuspect& served, TimePoint now);
@@ -118,8 +119,8 @@
   /// Judges anew what a change to the request's ends can bear on: all that were unanswered at one of them.
   void reevaluateAffected(const RequestFingerprint& request);
   /// @return all ends at which the request was unanswered.
-  void collectCrashes(const RequestFingerprint& request, TimePoint now, std::map<ServerEndId, ServerEnd>& found) const;
-  ServerEnd toMessage(const Crashes::value_type& crash, TimePoint now) const;
+  void collectCrashes(const RequestFingerprint& request, TimePoint now, std::map<ServerCrashId, ServerCrash>& found) const;
+  ServerCrash toMessage(const Crashes::value_type& crash, TimePoint now) const;
   void setQuarantineEnd(Suspect& suspect, TimePoint proved, TimePoint recorded);
 
   QuarantineConfig config_;
--- a/source/core/router/retry_policy.cc
+++ b/source/core/router/retry_policy.cc
@@ -38,7 +38,7 @@
 }
 
 RetryDecision RetryPolicy::decide(const AttemptState& attempt, const ForwardReplyFrame& reply) {
-  const bool retryable = mayRepeat(attempt.route->kind);
+  const bool retryable = isRepeatable(attempt.route->kind);
   switch (reply.outcome) {
     case ForwardOutcome::Answered:
       return isServerError(reply) && retryable && mayRetryNow(attempt) ? RetryDecision::TryAnother
--- a/source/core/router/slot_queue.cc
+++ b/source/core/router/slot_queue.cc
@@ -147,7 +147,7 @@
   load.running = running_;
   load.queued = static_cast<std::uint32_t>(waiting_.size());
   load.slots = start_rate_.isLimited() ? std::min(slots_, start_rate_.slotsInUse(mean_service_time_)) : slots_;
-  load.service_ms =
+  load.mean_service_ms =
       static_cast<std::uint32_t>(std::chrono::floor<std::chrono::milliseconds>(mean_service_time_).count());
   return load;
 }
