--- a/source/cli/config_check.cc
+++ b/source/cli/config_check.cc
@@ -48,7 +48,7 @@
     const auto found = stored->find(name);
     const Json before = found == stored->end() ? Json::object() : contentOf(found->second.text);
     for (const JsonDifference& difference : diffJson(before, contentOf(file.document.text))) {
-      table.add({name.value, difference.place, difference.before ? difference.before->dump() : "-",
+      table.add({name.value, difference.pointer, difference.before ? difference.before->dump() : "-",
                  difference.after ? difference.after->dump() : "-"});
     }
   }
--- a/source/cli/config_get.cc
+++ b/source/cli/config_get.cc
@@ -30,7 +30,7 @@
 void addRow(TextTable& table, const std::string& first, SettingsVersion version, const ChangeInfo& change) {
   const std::string base = change.base_version == 0 ? "-" : std::to_string(change.base_version);
   const auto shown = [](const std::string& text) { return text.empty() ? "-" : text; };
-  table.add({first, std::to_string(version), shown(change.id), shown(change.author), shown(change.at), base});
+  table.add({first, std::to_string(version), shown(change.id), shown(change.author), shown(change.changed_at), base});
 }
 
 ExitCode listDocuments(CliContext& context) {
@@ -47,7 +47,7 @@
 }
 
 leaf::result<std::vector<ValueSource>> explain(const SettingsDocuments& documents, const std::string& name) {
-  const std::string_view prefix(kServicePrefix);
+  const std::string_view prefix(kServiceDocumentPrefix);
   const bool has_prefix = name.compare(0, prefix.size(), prefix) == 0;
   return explainSettings(documents, ServiceName(has_prefix ? name.substr(prefix.size()) : name));
 }
--- a/source/cli/config_report.cc
+++ b/source/cli/config_report.cc
@@ -35,7 +35,7 @@
   if (change.id.empty()) {
     return "by a writer that left no change id";
   }
-  return "by " + change.author + " at " + change.at + ", change " + change.id;
+  return "by " + change.author + " at " + change.changed_at + ", change " + change.id;
 }
 
 std::string explainConflict(const DocumentName& document, const SettingsWriteOutcome& outcome) {
@@ -51,8 +51,8 @@
   }
   text += "changed since version " + std::to_string(conflict.base_version) + ", from which you started:\n";
   text += indented(toString(conflict.theirs));
-  text += "your changes:\n" + indented(toString(conflict.own));
-  for (const std::string& place : overlapOf(conflict.theirs, conflict.own)) {
+  text += "your changes:\n" + indented(toString(conflict.ours));
+  for (const std::string& place : overlappingPointers(conflict.theirs, conflict.ours)) {
     text += "both changed " + place + "\n";
   }
   return text + "make your change again on what `shedlever config get " + document.value + "` gives\n";
--- a/source/cli/explain_command.cc
+++ b/source/cli/explain_command.cc
@@ -57,8 +57,8 @@
   }
   TextTable table({"at_ms", "node", "event", "what"});
   for (const TraceStep& step : steps) {
-    table.add({std::to_string(step.line.at_ms), step.line.node, step.line.part + " " + step.line.event,
-               step.meaning.empty() ? otherFields(step.line) : step.meaning});
+    table.add({std::to_string(step.line.at_ms), step.line.node, step.line.component + " " + step.line.event,
+               step.description.empty() ? otherFields(step.line) : step.description});
   }
   print(context, table);
   return ExitCode::Done;
--- a/source/cli/metadata_object_store.cc
+++ b/source/cli/metadata_object_store.cc
@@ -74,7 +74,7 @@
   store_.list(kind, ListFreshness::Latest, [prefix, done = std::move(done)](const StoreListing& listing) {
     ListResult result{listing.available, listing.at.count, {}};
     for (const MetadataObject& object : listing.objects) {
-      if (const auto document = documentOfObject(object.name)) {
+      if (const auto document = documentNameFromObject(object.name)) {
         result.objects.push_back({prefix + document->value, object.revision.count, readable(object.value)});
       }
     }
--- a/source/cli/operator_commands.cc
+++ b/source/cli/operator_commands.cc
@@ -112,10 +112,10 @@
   for (const NodeStatus& status : found) {
     for (const QuarantineStatus& one : status.quarantined) {
       std::string ends;
-      for (const InstanceId& end : one.ends) {
+      for (const InstanceId& end : one.crashed_instances) {
         ends += (ends.empty() ? "" : ",") + end.value;
       }
-      table.add({status.node.name.value, one.fingerprint, milliseconds(one.left), ends.empty() ? "-" : ends});
+      table.add({status.node.name.value, one.fingerprint, milliseconds(one.remaining), ends.empty() ? "-" : ends});
     }
   }
   print(context, table);
--- a/source/cli/settings_files.cc
+++ b/source/cli/settings_files.cc
@@ -23,7 +23,7 @@
     return std::nullopt;
   }
   if (fs::absolute(path).parent_path().filename() == kServicesFolder) {
-    return DocumentName(kServicePrefix + name);
+    return DocumentName(kServiceDocumentPrefix + name);
   }
   return name == kDeploymentDocument ? std::optional(DocumentName(kDeploymentDocument)) : std::nullopt;
 }
--- a/source/core/operators/node_status.cc
+++ b/source/core/operators/node_status.cc
@@ -27,19 +27,19 @@
 
 ordered_json encodeQuarantine(const QuarantineStatus& one) {
   ordered_json ends = ordered_json::array();
-  for (const InstanceId& end : one.ends) {
+  for (const InstanceId& end : one.crashed_instances) {
     ends.push_back(end.value);
   }
-  const auto left_ms = std::chrono::floor<std::chrono::milliseconds>(one.left).count();
+  const auto left_ms = std::chrono::floor<std::chrono::milliseconds>(one.remaining).count();
   return {{"fingerprint", one.fingerprint}, {"left_ms", left_ms}, {"ends", std::move(ends)}};
 }
 
 QuarantineStatus decodeQuarantine(const ordered_json& document) {
   QuarantineStatus one;
   one.fingerprint = document.at("fingerprint").get<std::string>();
-  one.left = std::chrono::milliseconds(document.at("left_ms").get<std::int64_t>());
+  one.remaining = std::chrono::milliseconds(document.at("left_ms").get<std::int64_t>());
   for (const ordered_json& end : document.at("ends")) {
-    one.ends.emplace_back(end.get<std::string>());
+    one.crashed_instances.emplace_back(end.get<std::string>());
   }
   return one;
 }
@@ -61,13 +61,13 @@
   status.load.queued = server.at("queued").get<std::uint32_t>();
   status.load.slots = server.at("slots").get<std::uint32_t>();
   status.in_flight = document.at("in_flight").get<std::uint64_t>();
-  status.nodes = document.at("nodes").get<std::uint64_t>();
+  status.known_nodes = document.at("nodes").get<std::uint64_t>();
   const ordered_json& config = document.at("config");
   status.config_version = config.at("version").get<ConfigVersion>();
   for (const auto& [name, part] : config.at("parts").items()) {
     status.config_parts[name] = {part.at("era").get<StoreEra>(), part.at("count").get<std::uint64_t>()};
   }
-  status.store_era = document.at("store_era").get<StoreEra>();
+  status.store_epoch = document.at("store_era").get<StoreEra>();
   status.lease_left = std::chrono::milliseconds(document.at("lease_left_ms").get<std::int64_t>());
   for (const ordered_json& range : document.at("ranges")) {
     status.ranges.push_back(decodeRange(range));
@@ -107,9 +107,9 @@
                       {"stopping", status.stopping},
                       {"server", server},
                       {"in_flight", status.in_flight},
-                      {"nodes", status.nodes},
+                      {"nodes", status.known_nodes},
                       {"config", config},
-                      {"store_era", status.store_era},
+                      {"store_era", status.store_epoch},
                       {"lease_left_ms", lease_ms},
                       {"ranges", std::move(ranges)},
                       {"quarantined", std::move(quarantined)}}
--- a/source/core/operators/node_status.h
+++ b/source/core/operators/node_status.h
@@ -19,9 +19,9 @@
   /// As in the logs.
   std::string fingerprint;
   /// Until it may be sent again.
-  Duration left{};
+  Duration remaining{};
   /// Lives of servers that ended while at work on it, oldest first; none where only a record tells of it.
-  std::vector<InstanceId> ends;
+  std::vector<InstanceId> crashed_instances;
 };
 
 struct NodeStatus {
@@ -40,12 +40,12 @@
   /// Requests of clients without a final answer.
   std::uint64_t in_flight = 0;
   /// Nodes that it knows of.
-  std::uint64_t nodes = 0;
+  std::uint64_t known_nodes = 0;
   ConfigVersion config_version = 0;
   /// Objects of the configuration in force, with their revisions.
   std::map<std::string, StoreRevision> config_parts;
   /// Latest era of the store heard of; 0 while none was told.
-  StoreEra store_era = 0;
+  StoreEra store_epoch = 0;
   /// Zero for a node whose service is not divided by key.
   Duration lease_left{};
   /// Ranges of keys that the owner table gives to this node.
--- a/source/core/operators/request_trace.cc
+++ b/source/core/operators/request_trace.cc
@@ -10,19 +10,19 @@
 namespace {
 
 /// Changes of belief so long before a request's end may have decided it.
-constexpr std::int64_t kLookBackMs = 5000;
-constexpr std::int64_t kLookAheadMs = 200;
-constexpr std::string_view kGatewayPart = "gateway";
-constexpr std::string_view kGatePart = "gate";
-constexpr std::string_view kPeerPart = "peer";
-constexpr std::string_view kMembershipPart = "membership";
-
-struct ReasonMeaning {
+constexpr std::int64_t kContextBeforeMs = 5000;
+constexpr std::int64_t kContextAfterMs = 200;
+constexpr std::string_view kGatewayComponent = "gateway";
+constexpr std::string_view kGateComponent = "gate";
+constexpr std::string_view kPeerComponent = "peer";
+constexpr std::string_view kMembershipComponent = "membership";
+
+struct ReasonText {
   std::string_view reason;
-  std::string_view meaning;
+  std::string_view text;
 };
 
-constexpr std::array<ReasonMeaning, 20> kMeanings = {
+constexpr std::array<ReasonText, 20> kReasonTexts = {
     {{"none", "the server's answer was passed on"},
      {"overloaded", "the server's queue was too long, or the wait was over; it has not run"},
      {"queue-full", "as many requests of its tenant waited as may; it has not run"},
@@ -44,58 +44,60 @@
      {"unauthenticated", "its credential names no tenant"},
      {"bad-request", "it could not be understood"}}};
 
-std::string reasonMeaning(const LogLine& line) {
+std::string reasonText(const LogLine& line) {
   const std::string reason = line.field("reason");
-  const auto found = std::find_if(kMeanings.begin(), kMeanings.end(),
-                                  [&reason](const ReasonMeaning& entry) { return entry.reason == reason; });
-  return std::string(found == kMeanings.end() ? "no reason is told" : found->meaning);
+  const auto found = std::find_if(kReasonTexts.begin(), kReasonTexts.end(),
+                                  [&reason](const ReasonText& entry) { return entry.reason == reason; });
+  return std::string(found == kReasonTexts.end() ? "no reason is told" : found->text);
 }
 
-std::string meaningOfAttempt(const LogLine& line) {
-  return "came back from " + line.field("node") + " after " + line.field("held_ms") + " ms: " + reasonMeaning(line) +
+std::string describeAttempt(const LogLine& line) {
+  return "came back from " + line.field("node") + " after " + line.field("held_ms") + " ms: " + reasonText(line) +
          "; next: " + line.field("next");
 }
 
-std::string meaningOfEnd(const LogLine& line) {
+std::string describeEnd(const LogLine& line) {
   std::string sentence = line.event + " with status " + line.field("status") + " after " + line.field("held_ms") +
-                         " ms: " + reasonMeaning(line);
+                         " ms: " + reasonText(line);
   if (const std::string node = line.field("node"); !node.empty() && node != "-") {
     sentence += "; tried last at " + node;
   }
   return sentence;
 }
 
-std::string meaningOfGate(const LogLine& line) {
+std::string describeGateEvent(const LogLine& line) {
   if (line.event == "refused") {
-    return "not begun here: " + reasonMeaning(line) + "; " + line.field("running") + " of " + line.field("slots") +
+    return "not begun here: " + reasonText(line) + "; " + line.field("running") + " of " + line.field("slots") +
            " slots were in use, " + line.field("queued") + " waited";
   }
   return "the server " + line.field("instance") + " gave no whole answer in " + line.field("ran_ms") +
-         " ms: " + reasonMeaning(line);
+         " ms: " + reasonText(line);
 }
 
-std::string meaningOf(const LogLine& line) {
-  if (line.part == kGatePart) {
-    return meaningOfGate(line);
+std::string describeLine(const LogLine& line) {
+  if (line.component == kGateComponent) {
+    return describeGateEvent(line);
   }
   if (line.event == "attempt-ended") {
-    return meaningOfAttempt(line);
+    return describeAttempt(line);
   }
-  return line.event == "refused-at-once" ? "refused at once: " + reasonMeaning(line) : meaningOfEnd(line);
+  return line.event == "refused-at-once" ? "refused at once: " + reasonText(line) : describeEnd(line);
 }
 
 /// @return whether the line is about a single request.
-bool isAboutARequest(const LogLine& line) { return line.part == kGatewayPart || line.part == kGatePart; }
+bool isRequestLine(const LogLine& line) {
+  return line.component == kGatewayComponent || line.component == kGateComponent;
+}
 
 /// @return whether the line says something of the request's nodes; what one of them heard of others does not.
-bool concerns(const LogLine& line, const std::set<std::string>& nodes) {
-  const bool tells_of_a_node = line.part == kPeerPart || line.part == kMembershipPart;
+bool concernsNodes(const LogLine& line, const std::set<std::string>& nodes) {
+  const bool tells_of_a_node = line.component == kPeerComponent || line.component == kMembershipComponent;
   const std::string told_of = tells_of_a_node ? line.field("node") : std::string();
   return nodes.contains(line.node) && (told_of.empty() || nodes.contains(told_of));
 }
 
 /// Takes one value off the front: a word, or a quoted text.
-std::string takeValue(std::string_view& rest) {
+std::string consumeValue(std::string_view& rest) {
   std::string value;
   if (rest.empty() || rest.front() != '"') {
     const std::size_t end = rest.find(' ');
@@ -131,7 +133,7 @@
   line.node = node;
   // Whatever stands before the part was put there by who collected the logs.
   const std::string_view before = text.substr(0, colon);
-  line.part = before.substr(before.rfind(' ') == std::string_view::npos ? 0 : before.rfind(' ') + 1);
+  line.component = before.substr(before.rfind(' ') == std::string_view::npos ? 0 : before.rfind(' ') + 1);
   std::string_view rest = text.substr(colon + 2);
   while (!rest.empty()) {
     const std::size_t equals = rest.find('=');
@@ -140,7 +142,7 @@
     }
     std::string key(rest.substr(0, equals));
     rest.remove_prefix(equals + 1);
-    line.fields[std::move(key)] = takeValue(rest);
+    line.fields[std::move(key)] = consumeValue(rest);
     rest.remove_prefix(std::min(rest.find_first_not_of(' '), rest.size()));
   }
   line.event = line.field("event");
@@ -155,21 +157,21 @@
   std::int64_t first = 0;
   std::int64_t last = 0;
   for (const LogLine& line : lines) {
-    if (!isAboutARequest(line) || line.field("id") != id) {
+    if (!isRequestLine(line) || line.field("id") != id) {
       continue;
     }
     first = steps.empty() ? line.at_ms : std::min(first, line.at_ms);
     last = std::max(last, line.at_ms);
     nodes.insert(line.node);
     nodes.insert(line.field("node"));
-    steps.push_back({line, meaningOf(line)});
+    steps.push_back({line, describeLine(line)});
   }
   if (steps.empty()) {
     return steps;
   }
   for (const LogLine& line : lines) {
-    const bool near = line.at_ms >= first - kLookBackMs && line.at_ms <= last + kLookAheadMs;
-    if (!isAboutARequest(line) && near && concerns(line, nodes)) {
+    const bool near = line.at_ms >= first - kContextBeforeMs && line.at_ms <= last + kContextAfterMs;
+    if (!isRequestLine(line) && near && concernsNodes(line, nodes)) {
       steps.push_back({line, {}});
     }
   }
--- a/source/core/operators/request_trace.h
+++ b/source/core/operators/request_trace.h
@@ -16,7 +16,7 @@
 struct LogLine {
   /// Node whose log it is.
   std::string node;
-  std::string part;
+  std::string component;
   std::string event;
   /// Time of day in milliseconds.
   std::int64_t at_ms = 0;
@@ -33,7 +33,7 @@
 struct TraceStep {
   LogLine line;
   /// What it says about the request, one sentence; empty for lines that only stand around it.
-  std::string meaning;
+  std::string description;
 };
 
 /// Finds the request's own lines, and what its node and the node that it was sent to believed shortly before and while
--- a/source/core/operators/text_table.cc
+++ b/source/core/operators/text_table.cc
@@ -6,13 +6,13 @@
 
 namespace {
 
-constexpr std::size_t kGap = 2;
+constexpr std::size_t kColumnGap = 2;
 
-std::string line(const std::vector<std::string>& cells, const std::vector<std::size_t>& widths) {
+std::string formatRow(const std::vector<std::string>& cells, const std::vector<std::size_t>& widths) {
   std::string text;
   for (std::size_t i = 0; i < cells.size(); ++i) {
     text += cells[i];
-    text.append(widths[i] + kGap - cells[i].size(), ' ');
+    text.append(widths[i] + kColumnGap - cells[i].size(), ' ');
   }
   text.erase(text.find_last_not_of(' ') + 1);
   return text + "\n";
@@ -37,9 +37,9 @@
       widths[i] = std::max(widths[i], row[i].size());
     }
   }
-  std::string text = line(columns_, widths);
+  std::string text = formatRow(columns_, widths);
   for (const std::vector<std::string>& row : rows_) {
-    text += line(row, widths);
+    text += formatRow(row, widths);
   }
   return text;
 }
--- a/source/core/settings/near_miss.cc
+++ b/source/core/settings/near_miss.cc
@@ -8,12 +8,12 @@
 namespace {
 
 /// Longer names than this are no slip of the keys; it bounds the work for one comparison.
-constexpr std::size_t kLongestName = 64;
+constexpr std::size_t kMaxNameLength = 64;
 /// One edit is allowed for this many characters, and one more.
 constexpr std::size_t kCharactersPerEdit = 4;
 
 /// @return whether only the end of the name, such as the unit in "lease_ms", was left out.
-bool leavesOutTheEnd(std::string_view given, std::string_view name) {
+bool lacksOnlySuffix(std::string_view given, std::string_view name) {
   return name.size() > given.size() + 1 && name.substr(0, given.size()) == given && name[given.size()] == '_';
 }
 
@@ -35,13 +35,13 @@
 }  // namespace
 
 std::optional<std::string> nearestName(std::string_view given, const std::vector<std::string_view>& known) {
-  if (given.size() > kLongestName) {
+  if (given.size() > kMaxNameLength) {
     return std::nullopt;
   }
   std::size_t best = 2 + given.size() / kCharactersPerEdit;
   std::optional<std::string> nearest;
   for (const std::string_view name : known) {
-    const std::size_t distance = leavesOutTheEnd(given, name) ? 1 : editDistance(given, name);
+    const std::size_t distance = lacksOnlySuffix(given, name) ? 1 : editDistance(given, name);
     if (distance < best) {
       best = distance;
       nearest = std::string(name);
--- a/source/core/settings/service_checks.cc
+++ b/source/core/settings/service_checks.cc
@@ -7,26 +7,26 @@
 namespace {
 
 /// The checks of one service. Each finding stands at the document that gives the value.
-class ServiceCheck {
+class ServiceChecker {
  public:
-  ServiceCheck(const ParsedDocuments& documents, const ServiceSettings& service, Findings& findings)
+  ServiceChecker(const ParsedDocuments& documents, const ServiceSettings& service, Findings& findings)
       : documents_(documents), service_(service), findings_(findings) {}
 
   void run() {
-    checkKey();
-    checkRuns();
+    checkRequiredValues();
+    checkAtMostOnce();
     checkDeadlines();
     checkTenants();
   }
 
  private:
   void add(const Json::json_pointer& pointer, std::string message) {
-    findings_.add(placeOf(documents_, service_.name, pointer).text(), std::move(message));
+    findings_.add(locationOf(documents_, service_.name, pointer).text(), std::move(message));
   }
 
   void add(const char* pointer, std::string message) { add(Json::json_pointer(pointer), std::move(message)); }
 
-  void checkKey() {
+  void checkRequiredValues() {
     if (service_.path_prefix.empty() && !sourceOf(documents_, service_.name, Json::json_pointer("/path_prefix"))) {
       add("/path_prefix", "is required: requests whose path begins with it belong to the service.");
     }
@@ -35,7 +35,7 @@
     }
   }
 
-  void checkRuns() {
+  void checkAtMostOnce() {
     if (service_.once_only && service_.repeatable) {
       add("/once_only", "excludes \"repeatable\": a request can't both run at most once and be run again.");
     }
@@ -83,7 +83,7 @@
     return;
   }
   if (beginsWith(service.path_prefix, other.path_prefix) || beginsWith(other.path_prefix, service.path_prefix)) {
-    const DocumentPlace place = placeOf(documents, service.name, Json::json_pointer("/path_prefix"));
+    const DocumentLocation place = locationOf(documents, service.name, Json::json_pointer("/path_prefix"));
     findings.add(place.text(), "overlaps with " + quotedText(other.path_prefix) + " of " +
                                    serviceDocumentName(other.name).value + ": a path would belong to both.");
   }
@@ -110,7 +110,7 @@
       continue;
     }
     const Json::json_pointer pointer = Json::json_pointer("/tenants") / i / "credential_sha256";
-    findings.add(placeOf(documents, service.name, pointer).text(),
+    findings.add(locationOf(documents, service.name, pointer).text(),
                  "names tenant " + quotedText(owner->second.tenant.value) + " in " +
                      serviceDocumentName(owner->second.service).value + "; a credential names one tenant.");
   }
@@ -119,7 +119,7 @@
 }  // namespace
 
 void checkService(const ParsedDocuments& documents, const ServiceSettings& service, Findings& findings) {
-  ServiceCheck(documents, service, findings).run();
+  ServiceChecker(documents, service, findings).run();
 }
 
 void checkServices(const ParsedDocuments& documents, const DeploymentSettings& settings, Findings& findings) {
--- a/source/core/settings/settings_change.cc
+++ b/source/core/settings/settings_change.cc
@@ -47,7 +47,7 @@
   document.erase(kChangeKey);
   nlohmann::ordered_json changed;
   changed[kChangeKey] = {
-      {kId, change.id}, {kAuthor, change.author}, {kAt, change.at}, {kBaseVersion, change.base_version}};
+      {kId, change.id}, {kAuthor, change.author}, {kAt, change.changed_at}, {kBaseVersion, change.base_version}};
   changed.update(document);
   return changed.dump(kIndent) + "\n";
 }
--- a/source/core/settings/settings_change.h
+++ b/source/core/settings/settings_change.h
@@ -17,7 +17,7 @@
   std::string id;
   std::string author;
   /// UTC, "2026-12-02T07:26:00Z".
-  std::string at;
+  std::string changed_at;
   /// The version that this change replaced; 0 when it made the document.
   SettingsVersion base_version = 0;
   auto operator<=>(const ChangeInfo&) const = default;
--- a/source/core/settings/settings_diff.cc
+++ b/source/core/settings/settings_diff.cc
@@ -6,14 +6,14 @@
 
 namespace {
 
-void collect(const Json::json_pointer& place, const Json& before, const Json& after,
-             std::vector<JsonDifference>& differences);
+void compareValues(const Json::json_pointer& place, const Json& before, const Json& after,
+                   std::vector<JsonDifference>& differences);
 
 /// Compares a member that one side may lack.
-void collectMember(const Json::json_pointer& place, const Json* before, const Json* after,
+void compareMember(const Json::json_pointer& place, const Json* before, const Json* after,
                    std::vector<JsonDifference>& differences) {
   if (before != nullptr && after != nullptr) {
-    collect(place, *before, *after, differences);
+    compareValues(place, *before, *after, differences);
     return;
   }
   JsonDifference difference{place.to_string(), std::nullopt, std::nullopt};
@@ -31,8 +31,8 @@
   return found == object.end() ? nullptr : &*found;
 }
 
-void collectObject(const Json::json_pointer& place, const Json& before, const Json& after,
-                   std::vector<JsonDifference>& differences) {
+void compareObjects(const Json::json_pointer& place, const Json& before, const Json& after,
+                    std::vector<JsonDifference>& differences) {
   std::set<std::string> keys;
   for (const Json* side : {&before, &after}) {
     for (const auto& [key, value] : side->items()) {
@@ -40,25 +40,25 @@
     }
   }
   for (const std::string& key : keys) {
-    collectMember(place / key, memberOf(before, key), memberOf(after, key), differences);
+    compareMember(place / key, memberOf(before, key), memberOf(after, key), differences);
   }
 }
 
-void collectList(const Json::json_pointer& place, const Json& before, const Json& after,
-                 std::vector<JsonDifference>& differences) {
+void compareLists(const Json::json_pointer& place, const Json& before, const Json& after,
+                  std::vector<JsonDifference>& differences) {
   for (std::size_t i = 0; i < std::max(before.size(), after.size()); ++i) {
     const Json* left = i < before.size() ? &before[i] : nullptr;
     const Json* right = i < after.size() ? &after[i] : nullptr;
-    collectMember(place / i, left, right, differences);
+    compareMember(place / i, left, right, differences);
   }
 }
 
-void collect(const Json::json_pointer& place, const Json& before, const Json& after,
-             std::vector<JsonDifference>& differences) {
+void compareValues(const Json::json_pointer& place, const Json& before, const Json& after,
+                   std::vector<JsonDifference>& differences) {
   if (before.is_object() && after.is_object()) {
-    collectObject(place, before, after, differences);
+    compareObjects(place, before, after, differences);
   } else if (before.is_array() && after.is_array()) {
-    collectList(place, before, after, differences);
+    compareLists(place, before, after, differences);
   } else if (before != after) {
     differences.push_back({place.to_string(), before, after});
   }
@@ -69,22 +69,23 @@
   return inner.compare(0, outer.size(), outer) == 0 && (inner.size() == outer.size() || inner[outer.size()] == '/');
 }
 
-std::string shown(const Json& value) { return value.dump(-1, ' ', false, Json::error_handler_t::replace); }
+std::string jsonText(const Json& value) { return value.dump(-1, ' ', false, Json::error_handler_t::replace); }
 
 }  // namespace
 
 std::vector<JsonDifference> diffJson(const Json& before, const Json& after) {
   std::vector<JsonDifference> differences;
-  collect(Json::json_pointer(), before, after, differences);
+  compareValues(Json::json_pointer(), before, after, differences);
   return differences;
 }
 
-std::vector<std::string> overlapOf(const std::vector<JsonDifference>& left, const std::vector<JsonDifference>& right) {
+std::vector<std::string> overlappingPointers(const std::vector<JsonDifference>& left,
+                                             const std::vector<JsonDifference>& right) {
   std::set<std::string> places;
   for (const JsonDifference& own : left) {
     for (const JsonDifference& other : right) {
-      if (isWithin(own.place, other.place) || isWithin(other.place, own.place)) {
-        places.insert(own.place.size() > other.place.size() ? own.place : other.place);
+      if (isWithin(own.pointer, other.pointer) || isWithin(other.pointer, own.pointer)) {
+        places.insert(own.pointer.size() > other.pointer.size() ? own.pointer : other.pointer);
       }
     }
   }
@@ -94,13 +95,13 @@
 std::string toString(const std::vector<JsonDifference>& differences) {
   std::string text;
   for (const JsonDifference& difference : differences) {
-    text += (difference.place.empty() ? "/" : difference.place) + ": ";
+    text += (difference.pointer.empty() ? "/" : difference.pointer) + ": ";
     if (difference.before && difference.after) {
-      text += shown(*difference.before) + " -> " + shown(*difference.after);
+      text += jsonText(*difference.before) + " -> " + jsonText(*difference.after);
     } else if (difference.before) {
-      text += "removed " + shown(*difference.before);
+      text += "removed " + jsonText(*difference.before);
     } else {
-      text += "added " + shown(difference.after.value_or(nullptr));
+      text += "added " + jsonText(difference.after.value_or(nullptr));
     }
     text += "\n";
   }
--- a/source/core/settings/settings_diff.h
+++ b/source/core/settings/settings_diff.h
@@ -14,7 +14,7 @@
 /// One place at which two documents differ.
 struct JsonDifference {
   /// JSON pointer.
-  std::string place;
+  std::string pointer;
   /// The value on either side; nothing where there is none.
   std::optional<Json> before;
   std::optional<Json> after;
@@ -26,7 +26,8 @@
 std::vector<JsonDifference> diffJson(const Json& before, const Json& after);
 
 /// @return the places at which both sets of differences touch the same value, or one inside the other.
-std::vector<std::string> overlapOf(const std::vector<JsonDifference>& left, const std::vector<JsonDifference>& right);
+std::vector<std::string> overlappingPointers(const std::vector<JsonDifference>& left,
+                                             const std::vector<JsonDifference>& right);
 
 /// @return one line a difference: "/slices: 64 -> 32", "/slices: added 32", "/slices: removed 64".
 std::string toString(const std::vector<JsonDifference>& differences);
--- a/source/core/settings/settings_documents.cc
+++ b/source/core/settings/settings_documents.cc
@@ -13,8 +13,8 @@
 }
 
 void parseService(const SettingsDocument& document, ParsedDocuments& parsed, Findings& findings) {
-  const std::string service = document.name.value.substr(std::string_view(kServicePrefix).size());
-  if (!keepsRule(service, TextRule::Name)) {
+  const std::string service = document.name.value.substr(std::string_view(kServiceDocumentPrefix).size());
+  if (!matchesRule(service, TextRule::Name)) {
     const std::string rule = describeType(FieldLimits{0, 0, TextRule::Name}, std::string());
     findings.add(document.name.value, "does not name a service: after \"services/\" there must be " + rule + ".");
   }
@@ -26,7 +26,9 @@
 
 }  // namespace
 
-DocumentName serviceDocumentName(const ServiceName& service) { return DocumentName(kServicePrefix + service.value); }
+DocumentName serviceDocumentName(const ServiceName& service) {
+  return DocumentName(kServiceDocumentPrefix + service.value);
+}
 
 ParsedDocuments parseDocuments(const std::map<DocumentName, SettingsDocument>& documents, Findings& findings) {
   ParsedDocuments parsed;
@@ -34,7 +36,7 @@
     if (name.value == kDeploymentDocument) {
       parsed.deployment_version = document.version;
       parsed.deployment = parseDocument(name.value, document.text, findings).value_or(Json::object());
-    } else if (startsWith(name.value, kServicePrefix)) {
+    } else if (startsWith(name.value, kServiceDocumentPrefix)) {
       parseService({name, document.version, document.text}, parsed, findings);
     } else {
       const std::string known = "is no settings document; there are \"deployment\" and \"services/NAME\".";
@@ -44,21 +46,22 @@
   return parsed;
 }
 
-std::optional<DocumentPlace> sourceOf(const ParsedDocuments& documents, const ServiceName& service,
-                                      const Json::json_pointer& pointer) {
+std::optional<DocumentLocation> sourceOf(const ParsedDocuments& documents, const ServiceName& service,
+                                         const Json::json_pointer& pointer) {
   const auto own = documents.services.find(service);
   if (own != documents.services.end() && own->second.json.contains(pointer)) {
-    return DocumentPlace(serviceDocumentName(service).value, pointer);
+    return DocumentLocation(serviceDocumentName(service).value, pointer);
   }
   const Json::json_pointer inherited = Json::json_pointer(std::string("/") + kServiceDefaultsKey) / pointer;
   if (documents.deployment.contains(inherited)) {
-    return DocumentPlace(kDeploymentDocument, inherited);
+    return DocumentLocation(kDeploymentDocument, inherited);
   }
   return std::nullopt;
 }
 
-DocumentPlace placeOf(const ParsedDocuments& documents, const ServiceName& service, const Json::json_pointer& pointer) {
-  return sourceOf(documents, service, pointer).value_or(DocumentPlace(serviceDocumentName(service).value, pointer));
+DocumentLocation locationOf(const ParsedDocuments& documents, const ServiceName& service,
+                            const Json::json_pointer& pointer) {
+  return sourceOf(documents, service, pointer).value_or(DocumentLocation(serviceDocumentName(service).value, pointer));
 }
 
 }  // namespace shedlever
--- a/source/core/settings/settings_documents.h
+++ b/source/core/settings/settings_documents.h
@@ -44,10 +44,11 @@
 
 /// @param pointer a value of the service, e.g. "/backend/slots".
 /// @return the nearest document place that gives it; nothing when it is a default.
-std::optional<DocumentPlace> sourceOf(const ParsedDocuments& documents, const ServiceName& service,
-                                      const Json::json_pointer& pointer);
+std::optional<DocumentLocation> sourceOf(const ParsedDocuments& documents, const ServiceName& service,
+                                         const Json::json_pointer& pointer);
 
 /// @return the same, or the value's place in the service's own document when it is a default.
-DocumentPlace placeOf(const ParsedDocuments& documents, const ServiceName& service, const Json::json_pointer& pointer);
+DocumentLocation locationOf(const ParsedDocuments& documents, const ServiceName& service,
+                            const Json::json_pointer& pointer);
 
 }  // namespace shedlever
--- a/source/core/settings/settings_explain.cc
+++ b/source/core/settings/settings_explain.cc
@@ -27,7 +27,7 @@
 
  private:
   std::string sourceName(const Json::json_pointer& pointer) const {
-    const std::optional<DocumentPlace> place = sourceOf(documents_, service_.name, pointer);
+    const std::optional<DocumentLocation> place = sourceOf(documents_, service_.name, pointer);
     if (!place) {
       return "default";
     }
--- a/source/core/settings/settings_field.h
+++ b/source/core/settings/settings_field.h
@@ -92,11 +92,11 @@
 std::string describeType(const FieldLimits& limits, KeySource value);
 
 /// @return whether the text keeps the rule.
-bool keepsRule(std::string_view text, TextRule rule);
+bool matchesRule(std::string_view text, TextRule rule);
 
 /// Takes each value that `object` gives into `owner`; a wrong one is a finding and leaves the old value.
 template <class Owner>
-void readFields(const Json& object, const DocumentPlace& place, FieldRows<Owner> rows, Owner& owner,
+void readFields(const Json& object, const DocumentLocation& place, FieldRows<Owner> rows, Owner& owner,
                 Findings& findings) {
   for (const FieldRow<Owner>& row : rows) {
     const auto found = object.find(row.name);
@@ -105,7 +105,7 @@
     }
     const auto read = [&](auto member) { return readValue(*found, row.limits, owner.*member); };
     if (const std::optional<std::string> problem = std::visit(read, row.member)) {
-      findings.add(place.below(row.name).text(), *problem);
+      findings.add(place.child(row.name).text(), *problem);
     }
   }
 }
--- a/source/core/settings/settings_field_tables.cc
+++ b/source/core/settings/settings_field_tables.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-constexpr double kAnyNumber = std::numeric_limits<std::uint32_t>::max();
-constexpr double kSecondMs = 1000;
-constexpr double kMinuteMs = 60 * kSecondMs;
-constexpr double kHourMs = 60 * kMinuteMs;
-constexpr double kDayMs = 24 * kHourMs;
-constexpr double kMegabyte = 1024.0 * 1024.0;
+constexpr double kMaxUint32 = std::numeric_limits<std::uint32_t>::max();
+constexpr double kMsPerSecond = 1000;
+constexpr double kMsPerMinute = 60 * kMsPerSecond;
+constexpr double kMsPerHour = 60 * kMsPerMinute;
+constexpr double kMsPerDay = 24 * kMsPerHour;
+constexpr double kBytesPerMebibyte = 1024.0 * 1024.0;
 
 using Scope = FieldScope;
 
@@ -41,7 +41,7 @@
      "Requests run at most once; each needs an `Idempotency-Key`. Excludes `repeatable`."},
     {"claim_retention_ms",
      &ServiceSettings::claim_retention,
-     {kMinuteMs, 365 * kDayMs},
+     {kMsPerMinute, 365 * kMsPerDay},
      "How long a once-only key stays taken after its request has ended."},
     {"priority",
      &ServiceSettings::priority,
@@ -49,18 +49,21 @@
      "Rank of the service's requests in a server's queue; 0 is the most urgent."},
     {"target_latency_ms",
      &ServiceSettings::target_latency,
-     {1, kHourMs},
+     {1, kMsPerHour},
      "Time within which an answer is worth most; a request waits for a slot or for its key's owner for a part of it."},
     {"default_deadline_ms",
      &ServiceSettings::default_deadline,
-     {1, kHourMs},
+     {1, kMsPerHour},
      "Time for a request whose caller gives no deadline."},
     {"longest_deadline_ms",
      &ServiceSettings::longest_deadline,
-     {1, kHourMs},
+     {1, kMsPerHour},
      "A longer deadline asked for by a caller is cut to this."},
-    {"body_limit", &ServiceSettings::body_limit, {0, 64 * kMegabyte}, "Longest request or answer body, in bytes."},
-    {"header_limit", &ServiceSettings::header_limit, {256, kMegabyte}, "All headers of a request, in bytes."},
+    {"body_limit",
+     &ServiceSettings::body_limit,
+     {0, 64 * kBytesPerMebibyte},
+     "Longest request or answer body, in bytes."},
+    {"header_limit", &ServiceSettings::header_limit, {256, kBytesPerMebibyte}, "All headers of a request, in bytes."},
 }};
 
 constexpr std::array<FieldRow<RetrySettings>, 3> kRetryFields{{
@@ -88,7 +91,7 @@
     {"weight", &TenantSettings::weight, {1, 10000}, "Share in the fair queue, relative to the other tenants."},
     {"queue_limit",
      &TenantSettings::queue_limit,
-     {0, kAnyNumber},
+     {0, kMaxUint32},
      "Requests of the tenant that may wait at one server; more are refused."},
     {"credential_sha256",
      &TenantSettings::credential_sha256,
--- a/source/core/settings/settings_history.cc
+++ b/source/core/settings/settings_history.cc
@@ -54,7 +54,7 @@
   }
   versions_.push_back({version, changeOf(document_text), document_text});
   std::sort(versions_.begin(), versions_.end(), isOlder);
-  if (versions_.size() > kHistoryLimit) {
+  if (versions_.size() > kMaxHistoryVersions) {
     versions_.erase(versions_.begin());
   }
 }
--- a/source/core/settings/settings_history.h
+++ b/source/core/settings/settings_history.h
@@ -18,7 +18,7 @@
 inline constexpr const char* kHistoryPrefix = "history/";
 
 /// Versions kept of each document.
-inline constexpr std::size_t kHistoryLimit = 32;
+inline constexpr std::size_t kMaxHistoryVersions = 32;
 
 /// One version of a document with its text as it was stored.
 struct HistoryVersion {
@@ -35,7 +35,7 @@
   /// @return the text to be stored.
   std::string text() const;
 
-  /// Records a version; the oldest is dropped beyond `kHistoryLimit`. One that is recorded already stays.
+  /// Records a version; the oldest is dropped beyond `kMaxHistoryVersions`. One that is recorded already stays.
   void record(SettingsVersion version, const std::string& document_text);
 
   const HistoryVersion* find(SettingsVersion version) const;
--- a/source/core/settings/settings_json.cc
+++ b/source/core/settings/settings_json.cc
@@ -10,9 +10,9 @@
 namespace {
 
 /// Follows the parser, to find keys given twice and nesting too deep; the parser itself accepts both.
-class StructureWatch {
+class StructureChecker {
  public:
-  StructureWatch(const std::string& document, Findings& findings) : document_(document), findings_(findings) {}
+  StructureChecker(const std::string& document, Findings& findings) : document_(document), findings_(findings) {}
 
   /// @return false to drop the value that is being read.
   bool onEvent(int depth, Json::parse_event_t event, const Json& parsed) {
@@ -43,9 +43,9 @@
   };
 
   bool begin(int depth) {
-    if (depth >= kDeepestNesting) {
+    if (depth >= kMaxNestingDepth) {
       if (!too_deep_) {
-        findings_.add(place().text(), "is nested deeper than " + std::to_string(kDeepestNesting) + " levels.");
+        findings_.add(place().text(), "is nested deeper than " + std::to_string(kMaxNestingDepth) + " levels.");
       }
       too_deep_ = true;
       levels_.emplace_back();
@@ -79,11 +79,11 @@
     }
   }
 
-  DocumentPlace place() const {
-    DocumentPlace place(document_);
+  DocumentLocation place() const {
+    DocumentLocation place(document_);
     for (const Level& level : levels_) {
       const bool in_object = !level.keys.empty();
-      place = in_object ? place.below(level.current_key) : place.below(level.elements == 0 ? 0 : level.elements - 1);
+      place = in_object ? place.child(level.current_key) : place.child(level.elements == 0 ? 0 : level.elements - 1);
     }
     return place;
   }
@@ -112,19 +112,21 @@
 
 }  // namespace
 
-DocumentPlace::DocumentPlace(std::string document, Json::json_pointer pointer)
+DocumentLocation::DocumentLocation(std::string document, Json::json_pointer pointer)
     : document_(std::move(document)), pointer_(std::move(pointer)) {}
 
-DocumentPlace DocumentPlace::below(std::string_view key) const {
-  return DocumentPlace(document_, pointer_ / std::string(key));
+DocumentLocation DocumentLocation::child(std::string_view key) const {
+  return DocumentLocation(document_, pointer_ / std::string(key));
 }
 
-DocumentPlace DocumentPlace::below(std::size_t index) const { return DocumentPlace(document_, pointer_ / index); }
+DocumentLocation DocumentLocation::child(std::size_t index) const {
+  return DocumentLocation(document_, pointer_ / index);
+}
 
-std::string DocumentPlace::text() const { return document_ + "#" + pointer_.to_string(); }
+std::string DocumentLocation::text() const { return document_ + "#" + pointer_.to_string(); }
 
 std::optional<Json> parseDocument(const std::string& document, const std::string& text, Findings& findings) {
-  StructureWatch watch(document, findings);
+  StructureChecker watch(document, findings);
   const auto callback = [&watch](int depth, Json::parse_event_t event, Json& parsed) {
     return watch.onEvent(depth, event, parsed);
   };
@@ -142,11 +144,11 @@
   return std::nullopt;
 }
 
-void checkKeys(const Json& object, const DocumentPlace& place, const std::vector<std::string_view>& known,
+void checkKeys(const Json& object, const DocumentLocation& place, const std::vector<std::string_view>& known,
                Findings& findings) {
   for (const auto& [key, value] : object.items()) {
     if (std::find(known.begin(), known.end(), key) == known.end()) {
-      findings.add(place.below(key).text(), "is not a known setting here." + didYouMean(key, known));
+      findings.add(place.child(key).text(), "is not a known setting here." + didYouMean(key, known));
     }
   }
 }
--- a/source/core/settings/settings_json.h
+++ b/source/core/settings/settings_json.h
@@ -18,14 +18,14 @@
 using Json = nlohmann::json;
 
 /// A place inside a document, shown as "services/talash#/backend/slots".
-class DocumentPlace {
+class DocumentLocation {
  public:
-  explicit DocumentPlace(std::string document, Json::json_pointer pointer = Json::json_pointer());
+  explicit DocumentLocation(std::string document, Json::json_pointer pointer = Json::json_pointer());
 
   /// @return the place of a member of the object here.
-  DocumentPlace below(std::string_view key) const;
+  DocumentLocation child(std::string_view key) const;
   /// @return the place of an element of the array here.
-  DocumentPlace below(std::size_t index) const;
+  DocumentLocation child(std::size_t index) const;
 
   const Json::json_pointer& pointer() const { return pointer_; }
   std::string text() const;
@@ -36,7 +36,7 @@
 };
 
 /// Nesting beyond this is refused: no settings document needs it, and it bounds recursion.
-inline constexpr int kDeepestNesting = 16;
+inline constexpr int kMaxNestingDepth = 16;
 
 /// @param document names the document in findings.
 /// @return the document, which is an object; nothing when the text is no JSON object. Malformed text is
@@ -44,7 +44,7 @@
 std::optional<Json> parseDocument(const std::string& document, const std::string& text, Findings& findings);
 
 /// Adds a finding for each key of `object` that is not known, with a suggestion.
-void checkKeys(const Json& object, const DocumentPlace& place, const std::vector<std::string_view>& known,
+void checkKeys(const Json& object, const DocumentLocation& place, const std::vector<std::string_view>& known,
                Findings& findings);
 
 /// @return text in quotes, with control characters escaped, as findings show what was given.
--- a/source/core/settings/settings_reference.cc
+++ b/source/core/settings/settings_reference.cc
@@ -59,7 +59,7 @@
 }
 
 std::string historySection() {
-  return "\n## History\n\nThe last " + std::to_string(kHistoryLimit) +
+  return "\n## History\n\nThe last " + std::to_string(kMaxHistoryVersions) +
          " versions of a document that were replaced are kept under the kind `shedlever-history`, outside of the\n"
          "settings that nodes read. `config apply` records a version there before it replaces it.\n"
          "`shedlever config history DOCUMENT` lists them, `config get DOCUMENT --at VERSION` prints one.\n";
--- a/source/core/settings/settings_routes.cc
+++ b/source/core/settings/settings_routes.cc
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-RouterConfig routesOf(const DeploymentSettings& settings, ConfigVersion version) {
+RouterConfig routerConfigFrom(const DeploymentSettings& settings, ConfigVersion version) {
   RouterConfig config;
   config.version = version;
   config.limits.header_bytes = 0;
--- a/source/core/settings/settings_routes.h
+++ b/source/core/settings/settings_routes.h
@@ -10,6 +10,6 @@
 
 /// Each service gets one route, under its path prefix and for any host.
 /// @param version of the configuration; rises with each change of any document.
-RouterConfig routesOf(const DeploymentSettings& settings, ConfigVersion version);
+RouterConfig routerConfigFrom(const DeploymentSettings& settings, ConfigVersion version);
 
 }  // namespace shedlever
--- a/source/core/settings/settings_tree.cc
+++ b/source/core/settings/settings_tree.cc
@@ -32,17 +32,17 @@
  private:
   /// @return what every service inherits.
   ServiceSettings readDeployment() {
-    const DocumentPlace place(kDeploymentDocument);
+    const DocumentLocation place(kDeploymentDocument);
     checkKeys(documents_.deployment, place, {kChangeKey, kServiceDefaultsKey}, findings_);
     ServiceSettings defaults;
     defaults.deployment_version = documents_.deployment_version;
-    if (const Json* object = child(documents_.deployment, place, kServiceDefaultsKey)) {
-      readDefaults(*object, place.below(kServiceDefaultsKey), defaults);
+    if (const Json* object = childObject(documents_.deployment, place, kServiceDefaultsKey)) {
+      readDefaults(*object, place.child(kServiceDefaultsKey), defaults);
     }
     return defaults;
   }
 
-  void readDefaults(const Json& object, const DocumentPlace& place, ServiceSettings& defaults) {
+  void readDefaults(const Json& object, const DocumentLocation& place, ServiceSettings& defaults) {
     std::vector<std::string_view> known = serviceKeys();
     for (const FieldRow<ServiceSettings>& row : serviceFields()) {
       if (row.scope == FieldScope::ServiceOnly) {
@@ -55,14 +55,14 @@
   }
 
   void readServiceDocument(const Json& object, ServiceSettings& service) {
-    const DocumentPlace place(serviceDocumentName(service.name).value);
+    const DocumentLocation place(serviceDocumentName(service.name).value);
     std::vector<std::string_view> known = serviceKeys();
     known.emplace_back(kChangeKey);
     known.emplace_back(kBackendsKey);
     checkKeys(object, place, known, findings_);
     readServiceValues(object, place, service);
-    if (const Json* backends = child(object, place, kBackendsKey)) {
-      readBackends(*backends, place.below(kBackendsKey), service);
+    if (const Json* backends = childObject(object, place, kBackendsKey)) {
+      readBackends(*backends, place.child(kBackendsKey), service);
     }
   }
 
@@ -73,55 +73,55 @@
     return keys;
   }
 
-  void readServiceValues(const Json& object, const DocumentPlace& place, ServiceSettings& service) {
+  void readServiceValues(const Json& object, const DocumentLocation& place, ServiceSettings& service) {
     readFields(object, place, serviceFields(), service, findings_);
     visitServiceGroups([&](std::string_view name, auto member, auto rows) {
-      if (const Json* group = child(object, place, name)) {
-        readGroup(*group, place.below(name), rows, service.*member);
+      if (const Json* group = childObject(object, place, name)) {
+        readGroup(*group, place.child(name), rows, service.*member);
       }
     });
     readTenants(object, place, service);
   }
 
   template <class Owner>
-  void readGroup(const Json& object, const DocumentPlace& place, FieldRows<Owner> rows, Owner& owner) {
+  void readGroup(const Json& object, const DocumentLocation& place, FieldRows<Owner> rows, Owner& owner) {
     checkKeys(object, place, fieldNames(rows), findings_);
     readFields(object, place, rows, owner, findings_);
   }
 
-  void readBackends(const Json& object, const DocumentPlace& place, ServiceSettings& service) {
+  void readBackends(const Json& object, const DocumentLocation& place, ServiceSettings& service) {
     for (const auto& [name, value] : object.items()) {
-      if (!keepsRule(name, TextRule::Name)) {
+      if (!matchesRule(name, TextRule::Name)) {
         const std::string rule = describeType(FieldLimits{0, 0, TextRule::Name}, std::string());
-        findings_.add(place.below(name).text(), "is not the name of a back end: it must be " + rule + ".");
+        findings_.add(place.child(name).text(), "is not the name of a back end: it must be " + rule + ".");
         continue;
       }
-      if (const Json* backend = child(object, place, name)) {
+      if (const Json* backend = childObject(object, place, name)) {
         BackendSettings& settings = service.backend_overrides[NodeName(name)];
         settings = service.backend;
-        readGroup(*backend, place.below(name), backendFields(), settings);
+        readGroup(*backend, place.child(name), backendFields(), settings);
       }
     }
   }
 
   /// A list of tenants is inherited or given as a whole.
-  void readTenants(const Json& object, const DocumentPlace& place, ServiceSettings& service) {
+  void readTenants(const Json& object, const DocumentLocation& place, ServiceSettings& service) {
     const auto list = object.find(kTenantsKey);
     if (list == object.end()) {
       return;
     }
-    const DocumentPlace list_place = place.below(kTenantsKey);
+    const DocumentLocation list_place = place.child(kTenantsKey);
     if (!list->is_array()) {
       findings_.add(list_place.text(), std::string("must be a list of tenants, not ") + list->type_name() + ".");
       return;
     }
     service.tenants.clear();
     for (std::size_t i = 0; i < list->size(); ++i) {
-      readTenant((*list)[i], list_place.below(i), service.tenants.emplace_back());
+      readTenant((*list)[i], list_place.child(i), service.tenants.emplace_back());
     }
   }
 
-  void readTenant(const Json& object, const DocumentPlace& place, TenantSettings& tenant) {
+  void readTenant(const Json& object, const DocumentLocation& place, TenantSettings& tenant) {
     if (!object.is_object()) {
       findings_.add(place.text(), std::string("must be an object, not ") + object.type_name() + ".");
       return;
@@ -129,19 +129,19 @@
     readGroup(object, place, tenantFields(), tenant);
     for (const char* required : {"name", "credential_sha256"}) {
       if (!object.contains(required)) {
-        findings_.add(place.below(required).text(), "is required.");
+        findings_.add(place.child(required).text(), "is required.");
       }
     }
   }
 
   /// @return the object under `key`; null when it is absent or, with a finding, no object.
-  const Json* child(const Json& object, const DocumentPlace& place, std::string_view key) {
+  const Json* childObject(const Json& object, const DocumentLocation& place, std::string_view key) {
     const auto found = object.find(key);
     if (found == object.end()) {
       return nullptr;
     }
     if (!found->is_object()) {
-      findings_.add(place.below(key).text(), std::string("must be an object, not ") + found->type_name() + ".");
+      findings_.add(place.child(key).text(), std::string("must be an object, not ") + found->type_name() + ".");
       return nullptr;
     }
     return &*found;
--- a/source/core/settings/settings_tree.h
+++ b/source/core/settings/settings_tree.h
@@ -26,7 +26,7 @@
 /// Names in the platform's store.
 inline constexpr const char* kSettingsPrefix = "settings/";
 inline constexpr const char* kDeploymentDocument = "deployment";
-inline constexpr const char* kServicePrefix = "services/";
+inline constexpr const char* kServiceDocumentPrefix = "services/";
 
 /// Resolves and checks a whole set of documents.
 /// @param documents by name; a missing "deployment" document means all defaults.
--- a/source/core/settings/settings_value.cc
+++ b/source/core/settings/settings_value.cc
@@ -10,8 +10,8 @@
 
 namespace {
 
-constexpr std::size_t kLongestName = 63;
-constexpr std::size_t kLongestText = 256;
+constexpr std::size_t kMaxNameLength = 63;
+constexpr std::size_t kMaxTextLength = 256;
 constexpr std::size_t kSha256Digits = 64;
 constexpr double kMicrosecondsPerMs = 1000.0;
 
@@ -31,10 +31,10 @@
   return std::isfinite(number) && number >= limits.minimum && number <= limits.maximum;
 }
 
-std::string mustBe(const std::string& right, const Json& given) {
-  constexpr std::size_t kLongestShown = 60;
+std::string mismatchMessage(const std::string& right, const Json& given) {
+  constexpr std::size_t kMaxShownLength = 60;
   std::string shown = given.dump(-1, ' ', false, Json::error_handler_t::replace);
-  if (shown.size() > kLongestShown) {
+  if (shown.size() > kMaxShownLength) {
     shown = std::string("a long ") + given.type_name();
   }
   return "must be " + right + ", not " + shown + ".";
@@ -46,7 +46,7 @@
 
 bool isName(std::string_view text) {
   const auto allowed = [](char character) { return isLowerAlphanumeric(character) || character == '-'; };
-  return !text.empty() && text.size() <= kLongestName && text.front() != '-' && text.back() != '-' &&
+  return !text.empty() && text.size() <= kMaxNameLength && text.front() != '-' && text.back() != '-' &&
          std::all_of(text.begin(), text.end(), allowed);
 }
 
@@ -54,7 +54,7 @@
   const auto allowed = [](char character) {
     return std::isgraph(static_cast<unsigned char>(character)) != 0 && character != '?' && character != '#';
   };
-  return !text.empty() && text.size() <= kLongestText && text.front() == '/' &&
+  return !text.empty() && text.size() <= kMaxTextLength && text.front() == '/' &&
          std::all_of(text.begin(), text.end(), allowed);
 }
 
@@ -66,7 +66,7 @@
     return std::isalnum(static_cast<unsigned char>(character)) != 0 ||
            kOtherCharacters.find(character) != std::string_view::npos;
   };
-  return text.size() <= kLongestText && std::all_of(text.begin(), text.end(), allowed);
+  return text.size() <= kMaxTextLength && std::all_of(text.begin(), text.end(), allowed);
 }
 
 bool isSha256(std::string_view text) {
@@ -94,7 +94,7 @@
 
 }  // namespace
 
-bool keepsRule(std::string_view text, TextRule rule) {
+bool matchesRule(std::string_view text, TextRule rule) {
   switch (rule) {
     case TextRule::Name:
       return isName(text);
@@ -112,7 +112,7 @@
 
 std::optional<std::string> readValue(const Json& value, const FieldLimits& limits, bool& target) {
   if (!value.is_boolean()) {
-    return mustBe(describeType(limits, target), value);
+    return mismatchMessage(describeType(limits, target), value);
   }
   target = value.get<bool>();
   return std::nullopt;
@@ -120,7 +120,7 @@
 
 std::optional<std::string> readValue(const Json& value, const FieldLimits& limits, std::uint32_t& target) {
   if (!value.is_number_integer() || !inRange(value.get<double>(), limits)) {
-    return mustBe(describeType(limits, target), value);
+    return mismatchMessage(describeType(limits, target), value);
   }
   target = value.get<std::uint32_t>();
   return std::nullopt;
@@ -128,7 +128,7 @@
 
 std::optional<std::string> readValue(const Json& value, const FieldLimits& limits, double& target) {
   if (!value.is_number() || !inRange(value.get<double>(), limits)) {
-    return mustBe(describeType(limits, target), value);
+    return mismatchMessage(describeType(limits, target), value);
   }
   target = value.get<double>();
   return std::nullopt;
@@ -136,15 +136,15 @@
 
 std::optional<std::string> readValue(const Json& value, const FieldLimits& limits, Duration& target) {
   if (!value.is_number() || !inRange(value.get<double>(), limits)) {
-    return mustBe(describeType(limits, target), value);
+    return mismatchMessage(describeType(limits, target), value);
   }
   target = Duration(std::llround(value.get<double>() * kMicrosecondsPerMs));
   return std::nullopt;
 }
 
 std::optional<std::string> readValue(const Json& value, const FieldLimits& limits, std::string& target) {
-  if (!value.is_string() || !keepsRule(value.get_ref<const std::string&>(), limits.rule)) {
-    return mustBe(describeType(limits, target), value);
+  if (!value.is_string() || !matchesRule(value.get_ref<const std::string&>(), limits.rule)) {
+    return mismatchMessage(describeType(limits, target), value);
   }
   target = value.get<std::string>();
   return std::nullopt;
@@ -160,7 +160,7 @@
   } else if (value == "header") {
     target = KeySource::Header;
   } else {
-    return mustBe(describeType(limits, target), value);
+    return mismatchMessage(describeType(limits, target), value);
   }
   return std::nullopt;
 }
--- a/source/core/settings/settings_write.cc
+++ b/source/core/settings/settings_write.cc
@@ -9,10 +9,10 @@
 namespace {
 
 /// What the chain of versions says of a write that replaces `expected`.
-enum class ChainVerdict : std::uint8_t {
+enum class ChainStatus : std::uint8_t {
   Written,     ///< the change is in the chain
   NotWritten,  ///< all versions after `expected` are known and none is the change
-  Broken,      ///< a version between is not known: stale reads, or the history no longer reaches back
+  Incomplete,  ///< a version between is not known: stale reads, or the history no longer reaches back
 };
 
 /// Document and history as last read.
@@ -24,33 +24,33 @@
 };
 
 struct ChainSearch {
-  ChainVerdict verdict = ChainVerdict::Broken;
+  ChainStatus status = ChainStatus::Incomplete;
   /// With Written: the version that the change made.
   SettingsVersion version = 0;
 };
 
 /// Follows the versions from the stored one down to `expected`.
-ChainSearch searchChain(const StoredState& state, const std::string& change_id, SettingsVersion expected) {
+ChainSearch searchVersionChain(const StoredState& state, const std::string& change_id, SettingsVersion expected) {
   SettingsVersion version = state.document.version;
   ChangeInfo change = state.change;
   while (version > expected) {
     if (change.id == change_id) {
-      return {ChainVerdict::Written, version};
+      return {ChainStatus::Written, version};
     }
     if (change.id.empty()) {
-      return {ChainVerdict::Broken, 0};
+      return {ChainStatus::Incomplete, 0};
     }
     if (change.base_version == expected) {
-      return {ChainVerdict::NotWritten, 0};
+      return {ChainStatus::NotWritten, 0};
     }
     const HistoryVersion* earlier = state.history.find(change.base_version);
     if (earlier == nullptr || change.base_version < expected || change.base_version >= version) {
-      return {ChainVerdict::Broken, 0};
+      return {ChainStatus::Incomplete, 0};
     }
     version = earlier->version;
     change = earlier->change;
   }
-  return {ChainVerdict::NotWritten, 0};
+  return {ChainStatus::NotWritten, 0};
 }
 
 }  // namespace
@@ -61,13 +61,13 @@
   Impl(SettingsWriteRequest request, ObjectStore& store, RetryTimer& timer, const SettingsWriteLimits& limits)
       : request_(std::move(request)),
         content_(contentOf(request_.text)),
-        operator_change_(changeOf(request_.text)),
+        base_change_(changeOf(request_.text)),
         store_(store),
         timer_(timer),
         limits_(limits),
-        wait_(limits.shortest_wait),
-        at_least_(request_.base_version.value_or(operator_change_.id.empty() ? 0 : operator_change_.base_version + 1)) {
-  }
+        retry_delay_(limits.initial_delay),
+        min_document_version_(
+            request_.base_version.value_or(base_change_.id.empty() ? 0 : base_change_.base_version + 1)) {}
 
   void start(std::function<void(const SettingsWriteOutcome&)> done) {
     done_ = std::move(done);
@@ -84,7 +84,7 @@
 
   /// @return a callback that does nothing once the write is gone.
   template <class Result>
-  std::function<void(const Result&)> guarded(void (Impl::*member)(const Result&)) {
+  std::function<void(const Result&)> weakCallback(void (Impl::*member)(const Result&)) {
     return [weak = weak_from_this(), member](const Result& result) {
       if (const std::shared_ptr<Impl> self = weak.lock()) {
         (self.get()->*member)(result);
@@ -92,7 +92,7 @@
     };
   }
 
-  void readDocument() { store_.get(documentObject(), guarded(&Impl::onDocument)); }
+  void readDocument() { store_.get(documentObject(), weakCallback(&Impl::onDocument)); }
 
   void onDocument(const ReadResult& result) {
     const ObjectVersion version = result.status == ReadStatus::Found ? result.object.version : 0;
@@ -100,23 +100,23 @@
       retry("the store does not answer");
       return;
     }
-    if (version < at_least_) {
+    if (version < min_document_version_) {
       retry("the store shows an older version than the one that the change starts from");
       return;
     }
-    at_least_ = version;
+    min_document_version_ = version;
     state_.document = version == 0 ? StoredObject{} : result.object;
     state_.change = changeOf(state_.document.value);
-    store_.get(historyObject(), guarded(&Impl::onHistory));
+    store_.get(historyObject(), weakCallback(&Impl::onHistory));
   }
 
   void onHistory(const ReadResult& result) {
     const ObjectVersion version = result.status == ReadStatus::Found ? result.object.version : 0;
-    if (result.status == ReadStatus::Unavailable || version < history_at_least_) {
+    if (result.status == ReadStatus::Unavailable || version < min_history_version_) {
       retry("the store does not tell the history");
       return;
     }
-    history_at_least_ = version;
+    min_history_version_ = version;
     std::optional<SettingsHistory> history =
         version == 0 ? SettingsHistory() : SettingsHistory::parse(result.object.value);
     if (!history) {
@@ -130,13 +130,13 @@
 
   /// Document and history are known: says the outcome, or makes the next step towards it.
   void decide() {
-    if (const std::optional<SettingsWriteOutcome> outcome = ownOutcome()) {
+    if (const std::optional<SettingsWriteOutcome> outcome = findAcceptedOutcome()) {
       finish(*outcome);
     } else if (put_sent_) {
       decideAfterPut();
     } else if (contentOf(state_.document.value) == content_) {
       finish({.status = SettingsWriteStatus::Unchanged, .version = state_.document.version});
-    } else if (!startsFromStored()) {
+    } else if (!isBasedOnStored()) {
       finishWithConflict();
     } else {
       write();
@@ -144,7 +144,7 @@
   }
 
   /// @return the outcome when the change is found anywhere.
-  std::optional<SettingsWriteOutcome> ownOutcome() const {
+  std::optional<SettingsWriteOutcome> findAcceptedOutcome() const {
     if (state_.change.id == request_.change.id) {
       return accepted(state_.document.version, state_.change.base_version);
     }
@@ -161,34 +161,35 @@
   }
 
   void decideAfterPut() {
-    if (state_.document.version == expected_) {
+    if (state_.document.version == expected_version_) {
       write();
       return;
     }
-    const ChainSearch search = searchChain(state_, request_.change.id, expected_);
-    if (search.verdict == ChainVerdict::NotWritten && state_.document.version > expected_) {
+    const ChainSearch search = searchVersionChain(state_, request_.change.id, expected_version_);
+    if (search.status == ChainStatus::NotWritten && state_.document.version > expected_version_) {
       finishWithConflict();
     } else {
       retry("the versions between are not all known");
     }
   }
 
-  bool startsFromStored() const {
+  bool isBasedOnStored() const {
     if (request_.base_version) {
       return *request_.base_version == state_.document.version;
     }
     if (state_.document.version == 0) {
-      return operator_change_.id.empty();
+      return base_change_.id.empty();
     }
-    return !operator_change_.id.empty() && operator_change_.id == state_.change.id;
+    return !base_change_.id.empty() && base_change_.id == state_.change.id;
   }
 
   void write() {
-    expected_ = state_.document.version;
-    if (expected_ != 0 && state_.history.find(expected_) == nullptr) {
+    expected_version_ = state_.document.version;
+    if (expected_version_ != 0 && state_.history.find(expected_version_) == nullptr) {
       SettingsHistory history = state_.history;
-      history.record(expected_, state_.document.value);
-      store_.putIfVersion(historyObject(), state_.history_version, history.text(), guarded(&Impl::onHistoryWritten));
+      history.record(expected_version_, state_.document.value);
+      store_.putIfVersion(historyObject(), state_.history_version, history.text(),
+                          weakCallback(&Impl::onHistoryWritten));
       return;
     }
     putDocument();
@@ -196,12 +197,12 @@
 
   void onHistoryWritten(const WriteResult& result) {
     if (result.status == WriteStatus::Accepted) {
-      history_at_least_ = result.version;
+      min_history_version_ = result.version;
       putDocument();
       return;
     }
     if (result.status == WriteStatus::Conflict) {
-      history_at_least_ = std::max(history_at_least_, result.version);
+      min_history_version_ = std::max(min_history_version_, result.version);
     }
     retry("the history can't be written");
   }
@@ -209,33 +210,33 @@
   void putDocument() {
     put_sent_ = true;
     ChangeInfo change = request_.change;
-    change.base_version = expected_;
-    store_.putIfVersion(documentObject(), expected_, withChange(request_.text, change),
-                        guarded(&Impl::onDocumentWritten));
+    change.base_version = expected_version_;
+    store_.putIfVersion(documentObject(), expected_version_, withChange(request_.text, change),
+                        weakCallback(&Impl::onDocumentWritten));
   }
 
   void onDocumentWritten(const WriteResult& result) {
     if (result.status == WriteStatus::Accepted) {
-      finish(accepted(result.version, expected_));
+      finish(accepted(result.version, expected_version_));
       return;
     }
     if (result.status == WriteStatus::Conflict) {
-      at_least_ = std::max(at_least_, result.version);
+      min_document_version_ = std::max(min_document_version_, result.version);
     }
     retry("the answer to the write was lost");
   }
 
   void retry(const char* reason) {
-    if (++attempts_ >= limits_.attempts) {
+    if (++attempts_ >= limits_.max_attempts) {
       giveUp(reason);
       return;
     }
-    timer_.runAfter(wait_, [weak = weak_from_this()] {
+    timer_.runAfter(retry_delay_, [weak = weak_from_this()] {
       if (const std::shared_ptr<Impl> self = weak.lock()) {
         self->readDocument();
       }
     });
-    wait_ = std::min(2 * wait_, limits_.longest_wait);
+    retry_delay_ = std::min(2 * retry_delay_, limits_.max_delay);
   }
 
   /// Until a write was sent, nothing can have been written.
@@ -245,12 +246,12 @@
   }
 
   /// @return the version that the operator started from, if its text is known.
-  const HistoryVersion* operatorBase() const {
+  const HistoryVersion* findBaseVersion() const {
     if (put_sent_) {
-      return state_.history.find(expected_);
+      return state_.history.find(expected_version_);
     }
     return request_.base_version ? state_.history.find(*request_.base_version)
-                                 : state_.history.findChange(operator_change_.id);
+                                 : state_.history.findChange(base_change_.id);
   }
 
   void finishWithConflict() {
@@ -258,10 +259,10 @@
     conflict.current_version = state_.document.version;
     conflict.current_change = state_.change;
     const Json current = conflict.current_version == 0 ? Json::object() : contentOf(state_.document.value);
-    if (const HistoryVersion* base = operatorBase()) {
+    if (const HistoryVersion* base = findBaseVersion()) {
       conflict.base_version = base->version;
       conflict.theirs = diffJson(contentOf(base->text), current);
-      conflict.own = diffJson(contentOf(base->text), content_);
+      conflict.ours = diffJson(contentOf(base->text), content_);
     } else {
       conflict.theirs = diffJson(content_, current);
     }
@@ -272,7 +273,7 @@
     if (conflict.current_version == 0) {
       return "the document does not exist any more";
     }
-    if (!put_sent_ && !request_.base_version && operator_change_.id.empty()) {
+    if (!put_sent_ && !request_.base_version && base_change_.id.empty()) {
       return "the document exists, and the file does not say from which version it was made; "
              "start from `config get`, or give --base VERSION";
     }
@@ -287,18 +288,18 @@
 
   const SettingsWriteRequest request_;
   const Json content_;
-  const ChangeInfo operator_change_;
+  const ChangeInfo base_change_;
   ObjectStore& store_;
   RetryTimer& timer_;
   const SettingsWriteLimits limits_;
-  Duration wait_;
+  Duration retry_delay_;
   /// A document read at less than this is stale.
-  ObjectVersion at_least_;
+  ObjectVersion min_document_version_;
   std::uint32_t attempts_ = 0;
   StoredState state_;
-  ObjectVersion history_at_least_ = 0;
+  ObjectVersion min_history_version_ = 0;
   /// Version that the write replaces; meaningful once a write was sent.
-  SettingsVersion expected_ = 0;
+  SettingsVersion expected_version_ = 0;
   bool put_sent_ = false;
   std::function<void(const SettingsWriteOutcome&)> done_;
 };
--- a/source/core/settings/settings_write.h
+++ b/source/core/settings/settings_write.h
@@ -58,7 +58,7 @@
   /// Changes since the operator's version; against the operator's text when that version is not known.
   std::vector<JsonDifference> theirs;
   /// The operator's own changes; empty when the version is not known.
-  std::vector<JsonDifference> own;
+  std::vector<JsonDifference> ours;
 };
 
 struct SettingsWriteOutcome {
@@ -74,10 +74,10 @@
 /// How long the writer goes on.
 struct SettingsWriteLimits {
   /// Rounds of reading and writing before it gives up.
-  std::uint32_t attempts = 20;
+  std::uint32_t max_attempts = 20;
   /// Wait after a failed round, doubled each time up to the longest.
-  Duration shortest_wait = std::chrono::milliseconds(50);
-  Duration longest_wait = std::chrono::seconds(2);
+  Duration initial_delay = std::chrono::milliseconds(50);
+  Duration max_delay = std::chrono::seconds(2);
 };
 
 /// One write of one document.
--- a/source/interface/caller_reply.cc
+++ b/source/interface/caller_reply.cc
@@ -62,7 +62,7 @@
   return "no further detail is known";
 }
 
-std::string_view introductionOf(Outcome outcome) {
+std::string_view outcomePrefix(Outcome outcome) {
   switch (outcome) {
     case Outcome::Answered:
       return "Answered: ";
@@ -95,14 +95,14 @@
   nlohmann::json body;
   body["outcome"] = toString(refusal.outcome);
   body["reason"] = toString(refusal.reason);
-  body["message"] = std::string(introductionOf(refusal.outcome)) + std::string(explanationOf(refusal.reason)) + ".";
+  body["message"] = std::string(outcomePrefix(refusal.outcome)) + std::string(explanationOf(refusal.reason)) + ".";
   body["request_id"] = refusal.id.value;
   return body.dump();
 }
 
 }  // namespace
 
-Duration usualRetryAfter(Reason reason) {
+Duration defaultRetryAfter(Reason reason) {
   switch (reason) {
     case Reason::NotOwner:
     case Reason::Draining:
@@ -132,7 +132,7 @@
     addHeader(response, "WWW-Authenticate", "Bearer");
   }
   const bool is_told = refusal.retry_after > Duration::zero();
-  const Duration wait = is_told ? refusal.retry_after : usualRetryAfter(refusal.reason);
+  const Duration wait = is_told ? refusal.retry_after : defaultRetryAfter(refusal.reason);
   if (refusal.outcome == Outcome::NotRun && wait > Duration::zero()) {
     addRetryAfter(response, wait);
   }
@@ -140,8 +140,8 @@
   return response;
 }
 
-void completeAnswer(HttpResponse& answer, const RequestId& id) {
-  keepResponseHeaders(answer.headers);
+void completeResponse(HttpResponse& answer, const RequestId& id) {
+  filterResponseHeaders(answer.headers);
   addHeader(answer, "Shedlever-Outcome", std::string(toString(Outcome::Answered)));
   addHeader(answer, "Shedlever-Request-Id", id.value);
 }
--- a/source/interface/caller_reply.h
+++ b/source/interface/caller_reply.h
@@ -8,13 +8,13 @@
 namespace shedlever {
 
 /// @return when a refused request is worth another try, where nobody knows better; zero when it never is.
-Duration usualRetryAfter(Reason reason);
+Duration defaultRetryAfter(Reason reason);
 
 /// @return status, product headers and a JSON body `{"outcome","reason","message","request_id"}`. Only
 /// what was not run carries `Retry-After`.
 HttpResponse refusalResponse(const Refusal& refusal);
 
 /// Makes the server's answer the caller's: status and body stay, headers are filtered and completed.
-void completeAnswer(HttpResponse& answer, const RequestId& id);
+void completeResponse(HttpResponse& answer, const RequestId& id);
 
 }  // namespace shedlever
--- a/source/interface/credentials.cc
+++ b/source/interface/credentials.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-constexpr std::string_view kScheme = "Bearer ";
+constexpr std::string_view kBearerScheme = "Bearer ";
 
 std::optional<Sha256Digest> digestFromHex(const std::string& hex) {
   Sha256Digest digest{};
@@ -26,13 +26,13 @@
 
 std::optional<std::string_view> bearerCredential(const std::vector<HttpHeader>& headers) {
   const HeaderLookup header = lookUpHeader(headers, "authorization");
-  if (header.count != 1 || header.value.size() <= kScheme.size()) {
+  if (header.count != 1 || header.value.size() <= kBearerScheme.size()) {
     return std::nullopt;
   }
-  if (!equalsIgnoringCase(header.value.substr(0, kScheme.size()), kScheme)) {
+  if (!equalsIgnoringCase(header.value.substr(0, kBearerScheme.size()), kBearerScheme)) {
     return std::nullopt;
   }
-  const std::string_view credential = header.value.substr(kScheme.size());
+  const std::string_view credential = header.value.substr(kBearerScheme.size());
   const std::size_t first = credential.find_first_not_of(' ');
   if (first == std::string_view::npos) {
     return std::nullopt;
@@ -40,7 +40,7 @@
   return credential.substr(first);
 }
 
-const TenantSettings* tenantOf(std::string_view credential, const std::vector<TenantSettings>& tenants) {
+const TenantSettings* findTenant(std::string_view credential, const std::vector<TenantSettings>& tenants) {
   const Sha256Digest digest = sha256(credential);
   const TenantSettings* found = nullptr;
   for (const TenantSettings& tenant : tenants) {
--- a/source/interface/credentials.h
+++ b/source/interface/credentials.h
@@ -19,6 +19,6 @@
 /// Compares with every tenant in a time that does not depend on how much of a digest fits. A tenant whose
 /// `credential_sha256` is not 64 hexadecimal digits can't be reached by any credential.
 /// @return the tenant with that credential; null when there is none.
-const TenantSettings* tenantOf(std::string_view credential, const std::vector<TenantSettings>& tenants);
+const TenantSettings* findTenant(std::string_view credential, const std::vector<TenantSettings>& tenants);
 
 }  // namespace shedlever
--- a/source/interface/header_rules.cc
+++ b/source/interface/header_rules.cc
@@ -14,17 +14,17 @@
 constexpr std::string_view kConnection = "connection";
 
 /// Of one connection only. Bodies are passed on whole, so the next hop writes its own length.
-constexpr std::array<std::string_view, 11> kHopByHop = {
+constexpr std::array<std::string_view, 11> kHopByHopHeaders = {
     kConnection, "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te",
     "trailer",   "upgrade",    "transfer-encoding",  "content-length",      "expect",
 };
 
 /// Meant for the router alone.
-constexpr std::array<std::string_view, 2> kRequestOnly = {"authorization", "host"};
+constexpr std::array<std::string_view, 2> kRouterOnlyHeaders = {"authorization", "host"};
 
 /// One bit for each length that occurs: most headers are told apart by their length alone.
 template <std::size_t kSize>
-constexpr std::uint64_t lengthsOf(const std::array<std::string_view, kSize>& names) {
+constexpr std::uint64_t lengthMask(const std::array<std::string_view, kSize>& names) {
   std::uint64_t lengths = 0;
   for (const std::string_view name : names) {
     lengths |= std::uint64_t{1} << name.size();
@@ -32,11 +32,11 @@
   return lengths;
 }
 
-constexpr std::uint64_t kHopByHopLengths = lengthsOf(kHopByHop);
-constexpr std::uint64_t kRequestOnlyLengths = lengthsOf(kRequestOnly);
+constexpr std::uint64_t kHopByHopLengthMask = lengthMask(kHopByHopHeaders);
+constexpr std::uint64_t kRouterOnlyLengthMask = lengthMask(kRouterOnlyHeaders);
 
 template <std::size_t kSize>
-bool isAmong(const std::array<std::string_view, kSize>& names, std::uint64_t lengths, std::string_view name) {
+bool containsName(const std::array<std::string_view, kSize>& names, std::uint64_t lengths, std::string_view name) {
   constexpr std::size_t kLengths = 64;
   if (name.size() >= kLengths || (lengths >> name.size() & 1U) == 0) {
     return false;
@@ -45,12 +45,12 @@
                      [name](std::string_view candidate) { return equalsIgnoringCase(candidate, name); });
 }
 
-bool isOfProduct(std::string_view name) {
+bool hasProductPrefix(std::string_view name) {
   return name.size() >= kProductPrefix.size() &&
          equalsIgnoringCase(name.substr(0, kProductPrefix.size()), kProductPrefix);
 }
 
-std::string_view trimmed(std::string_view text) {
+std::string_view trim(std::string_view text) {
   constexpr std::string_view kBlanks = " \t";
   const std::size_t first = text.find_first_not_of(kBlanks);
   if (first == std::string_view::npos) {
@@ -59,10 +59,10 @@
   return text.substr(first, text.find_last_not_of(kBlanks) - first + 1);
 }
 
-void appendListed(std::string_view list, std::vector<std::string>& names) {
+void appendListItems(std::string_view list, std::vector<std::string>& names) {
   while (!list.empty()) {
     const std::size_t comma = std::min(list.find(','), list.size());
-    const std::string_view name = trimmed(list.substr(0, comma));
+    const std::string_view name = trim(list.substr(0, comma));
     if (!name.empty()) {
       names.emplace_back(name);
     }
@@ -71,21 +71,21 @@
 }
 
 /// Headers that `Connection` declares to be of this hop.
-std::vector<std::string> namedByConnection(const std::vector<HttpHeader>& headers) {
+std::vector<std::string> connectionHeaderNames(const std::vector<HttpHeader>& headers) {
   std::vector<std::string> names;
   for (const HttpHeader& header : headers) {
     if (equalsIgnoringCase(header.name, kConnection)) {
-      appendListed(header.value, names);
+      appendListItems(header.value, names);
     }
   }
   return names;
 }
 
 template <class Drops>
-void dropHeaders(std::vector<HttpHeader>& headers, Drops drops) {
-  const std::vector<std::string> named = namedByConnection(headers);
+void removeHeaders(std::vector<HttpHeader>& headers, Drops drops) {
+  const std::vector<std::string> named = connectionHeaderNames(headers);
   std::erase_if(headers, [&](const HttpHeader& header) {
-    if (isAmong(kHopByHop, kHopByHopLengths, header.name) || drops(header.name)) {
+    if (containsName(kHopByHopHeaders, kHopByHopLengthMask, header.name) || drops(header.name)) {
       return true;
     }
     return std::any_of(named.begin(), named.end(),
@@ -109,12 +109,12 @@
   return lookup;
 }
 
-void keepRequestHeaders(std::vector<HttpHeader>& headers) {
-  dropHeaders(headers, [](std::string_view name) {
-    return isAmong(kRequestOnly, kRequestOnlyLengths, name) || isOfProduct(name);
+void filterRequestHeaders(std::vector<HttpHeader>& headers) {
+  removeHeaders(headers, [](std::string_view name) {
+    return containsName(kRouterOnlyHeaders, kRouterOnlyLengthMask, name) || hasProductPrefix(name);
   });
 }
 
-void keepResponseHeaders(std::vector<HttpHeader>& headers) { dropHeaders(headers, isOfProduct); }
+void filterResponseHeaders(std::vector<HttpHeader>& headers) { removeHeaders(headers, hasProductPrefix); }
 
 }  // namespace shedlever
--- a/source/interface/header_rules.h
+++ b/source/interface/header_rules.h
@@ -23,10 +23,10 @@
 
 /// Drops what must not reach the server: hop-by-hop headers, the credential, and the product's own headers. Those that
 /// only the router may set towards servers are replaced by `ServerProtocol::dress`, so that no client can forge them.
-void keepRequestHeaders(std::vector<HttpHeader>& headers);
+void filterRequestHeaders(std::vector<HttpHeader>& headers);
 
 /// Drops what must not reach the caller: hop-by-hop headers and anything that begins with `Shedlever-`,
 /// so that no server can forge an outcome.
-void keepResponseHeaders(std::vector<HttpHeader>& headers);
+void filterResponseHeaders(std::vector<HttpHeader>& headers);
 
 }  // namespace shedlever
--- a/source/interface/request_target.cc
+++ b/source/interface/request_target.cc
@@ -33,11 +33,11 @@
 std::string_view pathOf(std::string_view target) { return target.substr(0, target.find('?')); }
 
 bool hasForbiddenByte(std::string_view target) {
-  constexpr unsigned char kBlank = 0x20;
+  constexpr unsigned char kSpace = 0x20;
   constexpr unsigned char kDelete = 0x7f;
   return std::any_of(target.begin(), target.end(), [](char letter) {
     const auto byte = static_cast<unsigned char>(letter);
-    return byte <= kBlank || byte == kDelete;
+    return byte <= kSpace || byte == kDelete;
   });
 }
 
@@ -63,23 +63,23 @@
   return rest.substr(0, rest.find('/'));
 }
 
-std::optional<Key> keyOfSegment(std::string_view segment) {
+std::optional<Key> keyFromSegment(std::string_view segment) {
   if (segment.empty()) {
     return std::nullopt;
   }
   if (segment.find('%') == std::string_view::npos) {
-    return keyOf(segment);
+    return keyFromText(segment);
   }
   const std::optional<std::string> key = percentDecoded(segment);
   if (!key) {
     return std::nullopt;
   }
-  return keyOf(*key);
+  return keyFromText(*key);
 }
 
 }  // namespace
 
-Key keyOf(std::string_view text) {
+Key keyFromText(std::string_view text) {
   constexpr unsigned kDroppedBits = 48;
   return static_cast<Key>(XXH3_64bits(text.data(), text.size()) >> kDroppedBits);
 }
@@ -120,14 +120,14 @@
 
 std::optional<Key> requestKey(const ServiceSettings& settings, const HttpRequest& request) {
   if (settings.key_source == KeySource::Path) {
-    return keyOfSegment(keySegment(settings, request.target));
+    return keyFromSegment(keySegment(settings, request.target));
   }
   const HeaderLookup header = lookUpHeader(request.headers, settings.key_header);
   // Two headers could name two owners; which one the server would take is not known here.
   if (header.count != 1 || header.value.empty()) {
     return std::nullopt;
   }
-  return keyOf(header.value);
+  return keyFromText(header.value);
 }
 
 Reason checkLimits(const ServiceSettings& settings, const HttpRequest& request) {
--- a/source/interface/request_target.h
+++ b/source/interface/request_target.h
@@ -22,7 +22,7 @@
 bool isSafeTarget(std::string_view target);
 
 /// @return where a key given as text lies among a service's keys.
-Key keyOf(std::string_view text);
+Key keyFromText(std::string_view text);
 
 /// @return the request's key; nothing when it is missing, empty, malformed or ambiguous.
 std::optional<Key> requestKey(const ServiceSettings& settings, const HttpRequest& request);
--- a/source/interface/settings_config_protocol.h
+++ b/source/interface/settings_config_protocol.h
@@ -18,7 +18,7 @@
 std::string settingsObjectName(const DocumentName& document);
 
 /// @return the document's name; nothing when no document is named so.
-std::optional<DocumentName> documentOfObject(const std::string& object);
+std::optional<DocumentName> documentNameFromObject(const std::string& object);
 
 class SettingsConfigProtocol final : public ConfigProtocol {
  public:
--- a/source/interface/shedlever_client_protocol.cc
+++ b/source/interface/shedlever_client_protocol.cc
@@ -13,16 +13,16 @@
 namespace {
 
 constexpr std::string_view kDeadlineHeader = "shedlever-deadline";
-constexpr std::string_view kIdempotencyHeader = "idempotency-key";
+constexpr std::string_view kIdempotencyKeyHeader = "idempotency-key";
 
-ClientRequestInfo refused(Reason reason) {
+ClientRequestInfo refusedRequest(Reason reason) {
   ClientRequestInfo info;
   info.refusal = reason;
   return info;
 }
 
 /// @return what the client says; nothing when it can't be understood.
-std::optional<Duration> waitOf(const HttpRequest& request, const ServiceSettings& settings) {
+std::optional<Duration> deadlineOf(const HttpRequest& request, const ServiceSettings& settings) {
   const HeaderLookup header = lookUpHeader(request.headers, kDeadlineHeader);
   if (header.count == 0) {
     return settings.default_deadline;
@@ -41,22 +41,22 @@
 ClientRequestInfo ShedleverClientProtocol::read(const HttpRequest& request, const Route& route,
                                                 const RoutedService* service) const {
   if (service == nullptr || !service->settings) {
-    return refused(Reason::UnknownService);
+    return refusedRequest(Reason::UnknownService);
   }
   const ServiceSettings& settings = *service->settings;
   if (!isSafeTarget(request.target)) {
-    return refused(Reason::BadRequest);
+    return refusedRequest(Reason::BadRequest);
   }
   const std::optional<std::string_view> credential = bearerCredential(request.headers);
-  const TenantSettings* tenant = credential ? tenantOf(*credential, settings.tenants) : nullptr;
+  const TenantSettings* tenant = credential ? findTenant(*credential, settings.tenants) : nullptr;
   if (tenant == nullptr) {
-    return refused(Reason::Unauthenticated);
+    return refusedRequest(Reason::Unauthenticated);
   }
   ClientRequestInfo info;
   info.refusal = checkLimits(settings, request);
   info.tenant = {tenant->name, tenant->weight, tenant->queue_limit};
-  info.time_left = waitOf(request, settings);
-  const HeaderLookup idempotency = lookUpHeader(request.headers, kIdempotencyHeader);
+  info.time_left = deadlineOf(request, settings);
+  const HeaderLookup idempotency = lookUpHeader(request.headers, kIdempotencyKeyHeader);
   info.idempotency_key = IdempotencyKey(std::string(idempotency.value));
   if (settings.divided_by_key) {
     info.key = requestKey(settings, request);
@@ -71,10 +71,12 @@
   return info;
 }
 
-void ShedleverClientProtocol::strip(HttpRequest& request) const { keepRequestHeaders(request.headers); }
+void ShedleverClientProtocol::strip(HttpRequest& request) const { filterRequestHeaders(request.headers); }
 
 HttpResponse ShedleverClientProtocol::refusal(const Refusal& refusal) const { return refusalResponse(refusal); }
 
-void ShedleverClientProtocol::complete(HttpResponse& answer, const RequestId& id) const { completeAnswer(answer, id); }
+void ShedleverClientProtocol::complete(HttpResponse& answer, const RequestId& id) const {
+  completeResponse(answer, id);
+}
 
 }  // namespace shedlever
--- a/source/router/router_process_status.cc
+++ b/source/router/router_process_status.cc
@@ -20,16 +20,16 @@
   status.silent = server_.silent();
   status.load = gate_.load();
   status.in_flight = gateway_->inFlight();
-  status.nodes = directory_.nodes().size();
+  status.known_nodes = directory_.nodes().size();
   status.config_version = knowledge_.routes() ? knowledge_.routes()->version() : 0;
   status.config_parts = knowledge_.configRevisions();
-  status.store_era = store_.era();
+  status.store_epoch = store_.era();
   for (const CrashQuarantine::Quarantined& one : quarantine_.quarantine().quarantined()) {
     QuarantineStatus& told = status.quarantined.emplace_back();
     told.fingerprint = toString(one.request);
-    told.left = std::max(one.until - clock_.now(), Duration::zero());
+    told.remaining = std::max(one.until - clock_.now(), Duration::zero());
     for (const ServerEndId& end : one.ends) {
-      told.ends.push_back(end.instance);
+      told.crashed_instances.push_back(end.instance);
     }
   }
   if (keeper_) {
--- a/test/core_operators/request_trace_test.cc
+++ b/test/core_operators/request_trace_test.cc
@@ -13,7 +13,7 @@
 TEST(RequestTraceTest, ReadsLinesWithQuotesAndWhatCollectorsPutBefore) {
   const LogLine read =
       line("a", "  12.5 host-1 ownership: event=\"release begun\" at_ms=17 t_us=5 detail=\"a \\\"b\\\" c\" x=\"\"");
-  EXPECT_EQ(read.part, "ownership");
+  EXPECT_EQ(read.component, "ownership");
   EXPECT_EQ(read.event, "release begun");
   EXPECT_EQ(read.at_ms, 17);
   EXPECT_EQ(read.field("detail"), "a \"b\" c");
@@ -39,7 +39,7 @@
   EXPECT_EQ(steps[0].line.node, "b");
   EXPECT_EQ(steps[1].line.event, "lost");
   EXPECT_EQ(
-      steps[2].meaning,
+      steps[2].description,
       "refused with status 503 after 75 ms: the key was another server's by then; it has not run; tried last at b");
 }
 
@@ -55,17 +55,17 @@
   const std::vector<TraceStep> steps = traceRequest(lines, "r1");
   ASSERT_EQ(steps.size(), 4U);
   EXPECT_EQ(
-      steps[0].meaning,
+      steps[0].description,
       "not begun here: the server's queue was too long, or the wait was over; it has not run; 18 of 18 slots were "
       "in use, 40 waited");
   EXPECT_EQ(
-      steps[1].meaning,
+      steps[1].description,
       "came back from b after 10 ms: the server's queue was too long, or the wait was over; it has not run; next: "
       "try-another");
-  EXPECT_EQ(steps[2].meaning,
+  EXPECT_EQ(steps[2].description,
             "the server i-1 gave no whole answer in 12 ms: the connection broke after it was sent; whether it ran is "
             "not known");
-  EXPECT_TRUE(steps[3].meaning.starts_with("refused with status 503"));
+  EXPECT_TRUE(steps[3].description.starts_with("refused with status 503"));
 }
 
 TEST(RequestTraceTest, LeavesOutWhatItsNodesHeardOfOthers) {
@@ -84,7 +84,7 @@
   const std::vector<TraceStep> steps = traceRequest(
       {line("a", "gateway: event=refused-at-once at_ms=5 t_us=1 id=r1 reason=unknown-service host=h target=/x")}, "r1");
   ASSERT_EQ(steps.size(), 1U);
-  EXPECT_EQ(steps[0].meaning, "refused at once: no route of the configuration in force takes it");
+  EXPECT_EQ(steps[0].description, "refused at once: no route of the configuration in force takes it");
 }
 
 TEST(RequestTraceTest, UnknownRequestHasNoWay) { EXPECT_TRUE(traceRequest(logs(), "r9").empty()); }
--- a/test/core_settings/settings_write_test.cc
+++ b/test/core_settings/settings_write_test.cc
@@ -29,9 +29,9 @@
 }
 
 /// A store and writers on one queue.
-class Desk {
+class SettingsWriteHarness {
  public:
-  Desk() : store(queue), timer_(queue) {}
+  SettingsWriteHarness() : store(queue), timer_(queue) {}
 
   /// Begins a write whose outcome is kept.
   void begin(const std::string& change_id, const std::string& text, std::optional<SettingsVersion> base = {}) {
@@ -78,7 +78,7 @@
   };
   for (const FaultCase& fault : cases) {
     SCOPED_TRACE(fault.name);
-    Desk desk;
+    SettingsWriteHarness desk;
     ASSERT_EQ(desk.write("first", document("1")).status, SettingsWriteStatus::Accepted);
     desk.store.faults = fault.faults;
     const SettingsWriteOutcome outcome = desk.write("second", document("2", "first"));
@@ -89,7 +89,7 @@
 }
 
 TEST(SettingsWrite, UnknownWhenTheStoreFallsAfterTheWrite) {
-  Desk desk;
+  SettingsWriteHarness desk;
   desk.begin("first", document("1"));
   while (desk.store.versionsOf(kObject).empty()) {
     desk.store.faults.lost_answers = 1;
@@ -103,14 +103,14 @@
 }
 
 TEST(SettingsWrite, SecondOperatorIsRefusedWithWhatChanged) {
-  Desk desk;
+  SettingsWriteHarness desk;
   desk.write("base", document("1"));
   desk.write("theirs", document("2", "base"));
   const SettingsWriteOutcome outcome = desk.write("mine", document("3,\"repeatable\":true", "base"));
   ASSERT_EQ(outcome.status, SettingsWriteStatus::Conflict);
   EXPECT_EQ(toString(outcome.conflict->theirs), "/slices: 1 -> 2\n");
-  EXPECT_EQ(toString(outcome.conflict->own), "/repeatable: added true\n/slices: 1 -> 3\n");
-  EXPECT_EQ(overlapOf(outcome.conflict->theirs, outcome.conflict->own), std::vector<std::string>{"/slices"});
+  EXPECT_EQ(toString(outcome.conflict->ours), "/repeatable: added true\n/slices: 1 -> 3\n");
+  EXPECT_EQ(overlappingPointers(outcome.conflict->theirs, outcome.conflict->ours), std::vector<std::string>{"/slices"});
   EXPECT_EQ(outcome.conflict->current_change.id, "theirs");
   EXPECT_EQ(desk.write("blind", document("4")).status, SettingsWriteStatus::Conflict);
   EXPECT_EQ(desk.write("same", document("2")).status, SettingsWriteStatus::Unchanged);
@@ -120,7 +120,7 @@
 
 /// An answer to an earlier call comes late: the document looks as it was two versions ago.
 TEST(SettingsWrite, StaleReadDoesNotPassForTheStoredDocument) {
-  Desk desk;
+  SettingsWriteHarness desk;
   desk.write("one", document("1"));
   const SettingsVersion first = desk.store.versionsOf(kObject).back().version;
   desk.write("two", document("2", "one"));
@@ -141,7 +141,7 @@
 /// Operators race under lost, late and stale answers. What each is told must be what happened, also after
 /// the last write that was on its way has arrived; and no version is lost.
 RC_GTEST_PROP(SettingsWrite, RacingOperatorsAreToldWhatHappened, ()) {
-  Desk desk;
+  SettingsWriteHarness desk;
   desk.store.put(kObject, withChange(document("1"), change("base")));
   const int operators = *rc::gen::inRange(2, 6);
   for (int i = 0; i < operators; ++i) {
@@ -176,7 +176,7 @@
 
 /// One operator's answer is lost while others go on from its version: it finds itself in the history.
 RC_GTEST_PROP(SettingsWrite, FindsItsChangeUnderLaterOnes, ()) {
-  Desk desk;
+  SettingsWriteHarness desk;
   desk.write("base", document("1"));
   desk.begin("mine", document("2", "base"));
   while (desk.store.versionsOf(kObject).size() < 2) {
@@ -205,15 +205,15 @@
 
 TEST(SettingsHistory, KeepsTheNewestVersionsUpToTheBound) {
   SettingsHistory history;
-  for (SettingsVersion version = 1; version <= kHistoryLimit + 5; ++version) {
+  for (SettingsVersion version = 1; version <= kMaxHistoryVersions + 5; ++version) {
     history.record(version, withChange(document("1"), change("c" + std::to_string(version))));
     history.record(version, "{}");
   }
   const std::optional<SettingsHistory> again = SettingsHistory::parse(history.text());
   ASSERT_TRUE(again.has_value());
-  ASSERT_EQ(again->versions().size(), kHistoryLimit);
+  ASSERT_EQ(again->versions().size(), kMaxHistoryVersions);
   EXPECT_EQ(again->versions().front().version, 6U);
-  EXPECT_EQ(again->versions().back().change.id, "c" + std::to_string(kHistoryLimit + 5));
+  EXPECT_EQ(again->versions().back().change.id, "c" + std::to_string(kMaxHistoryVersions + 5));
   EXPECT_FALSE(SettingsHistory::parse("{\"versions\":[{}]}").has_value());
 }
 
--- a/test/interface/caller_reply_test.cc
+++ b/test/interface/caller_reply_test.cc
@@ -57,7 +57,7 @@
   answer.status = 418;
   answer.headers = {{"Content-Type", "x"}, {"Shedlever-Outcome", "not-run"}, {"Connection", "close"}};
   answer.body = "body";
-  completeAnswer(answer, RequestId("g-1-1"));
+  completeResponse(answer, RequestId("g-1-1"));
   EXPECT_EQ(answer.status, 418);
   EXPECT_EQ(answer.body, "body");
   EXPECT_EQ(lookUpHeader(answer.headers, "Shedlever-Outcome").count, 1U);
--- a/test/interface/credentials_test.cc
+++ b/test/interface/credentials_test.cc
@@ -38,14 +38,14 @@
 RC_GTEST_PROP(Credentials, OnlyTheWholeCredentialNamesItsTenant, (const std::string& guess)) {
   const std::vector<TenantSettings> tenants = {tenantWithDigest(kAlpha), tenantWithDigest("abcd"), tenantWithDigest(""),
                                                tenantWithDigest(kBeta), tenantWithDigest(std::string(64, 'g'))};
-  RC_ASSERT(tenantOf("alpha", tenants) == &tenants[0]);
-  RC_ASSERT(tenantOf("beta", tenants) == &tenants[3]);
-  RC_ASSERT(tenantOf(guess, tenants) == nullptr);
+  RC_ASSERT(findTenant("alpha", tenants) == &tenants[0]);
+  RC_ASSERT(findTenant("beta", tenants) == &tenants[3]);
+  RC_ASSERT(findTenant(guess, tenants) == nullptr);
   // A digest that differs in one digit belongs to nobody.
   std::string near_miss = kAlpha;
   char& digit = near_miss[*rc::gen::inRange<std::size_t>(0, near_miss.size())];
   digit = digit == '0' ? '1' : '0';
-  RC_ASSERT(tenantOf("alpha", {tenantWithDigest(near_miss)}) == nullptr);
+  RC_ASSERT(findTenant("alpha", {tenantWithDigest(near_miss)}) == nullptr);
 }
 
 }  // namespace
--- a/test/interface/request_target_test.cc
+++ b/test/interface/request_target_test.cc
@@ -37,7 +37,7 @@
     settings.path_prefix = row.prefix;
     settings.key_source = row.source;
     settings.key_header = "X-Key";
-    const std::optional<Key> expected = row.key ? std::optional(keyOf(*row.key)) : std::nullopt;
+    const std::optional<Key> expected = row.key ? std::optional(keyFromText(*row.key)) : std::nullopt;
     EXPECT_EQ(requestKey(settings, {"GET", row.target, row.headers, ""}), expected) << row.name;
   }
 }
@@ -87,7 +87,7 @@
       {"Expect", "100-continue"},
       {"Upgrade", "x"},
   };
-  keepRequestHeaders(request);
+  filterRequestHeaders(request);
   EXPECT_EQ(namesOf(request), "Accept Idempotency-Key X-Answer-Bytes ");
 
   std::vector<HttpHeader> response = {
@@ -95,7 +95,7 @@
       {"Connection", "x-a"}, {"X-A", "x"},        {"Trailer", "x"},
       {"Set-Cookie", "a"},   {"Set-Cookie", "b"},
   };
-  keepResponseHeaders(response);
+  filterResponseHeaders(response);
   EXPECT_EQ(namesOf(response), "Content-Type Set-Cookie Set-Cookie ");
 }
 
--- a/test/interface/shedlever_client_protocol_test.cc
+++ b/test/interface/shedlever_client_protocol_test.cc
@@ -81,7 +81,7 @@
   EXPECT_EQ(info.tenant.name.value, "t");
   EXPECT_EQ(info.tenant.weight, 3U);
   EXPECT_EQ(info.tenant.queue_limit, 5U);
-  EXPECT_EQ(info.key, keyOf("key-1"));
+  EXPECT_EQ(info.key, keyFromText("key-1"));
   EXPECT_EQ(info.time_left, milliseconds(250));
   EXPECT_EQ(info.idempotency_key.value, "once");
 }
--- a/test/platform_adapter/protocols_test.cc
+++ b/test/platform_adapter/protocols_test.cc
@@ -270,7 +270,7 @@
               {"name":"s2","healthPath":"/h2","maxConnections":5}],
   "limits":{"maxHeaderBytes":100,"maxBodyBytes":200,"headerTimeout":"3000ms","idleTimeout":"15s"},"baseVersion":"05"})";
 
-ObjectsByName partsOf(const std::string& text) { return {{kConfigObject, {kConfigObject, 1, text}}}; }
+ObjectsByName partsOf(const std::string& text) { return {{kConfigObjectName, {kConfigObjectName, 1, text}}}; }
 
 RouterConfig decodedOrEmpty(const std::string& text) {
   const ConfigProtocolImpl protocol;
