--- a/source/core/router/quarantine/crash_quarantine.cc
+++ b/source/core/router/quarantine/crash_quarantine.cc
@@ -32,8 +32,8 @@
 
 // News.
 
-ServerCrashesFrame CrashQuarantine::onLocalCrash(const ServerCrashId& id, const std::vector<RequestFingerprint>& unanswered,
-                                              TimePoint now) {
+ServerCrashesFrame CrashQuarantine::onLocalCrash(const ServerCrashId& id,
+                                                 const std::vector<RequestFingerprint>& unanswered, TimePoint now) {
   ServerCrashesFrame news;
   if (unanswered.empty() || !addCrash(id, {now, unanswered, true})) {
     return news;
@@ -295,8 +295,9 @@
       continue;
     }
     Quarantined& one = all.emplace_back(Quarantined{request, suspect.quarantinedUntil(), {}, suspect.in_own_record});
-    std::copy_if(suspect.crashes.begin(), suspect.crashes.end(), std::back_inserter(one.crashes),
-                 [this, &suspect = suspect](const ServerCrashId& id) { return crashes_.at(id).at > suspect.served_at; });
+    std::copy_if(
+        suspect.crashes.begin(), suspect.crashes.end(), std::back_inserter(one.crashes),
+        [this, &suspect = suspect](const ServerCrashId& id) { return crashes_.at(id).at > suspect.served_at; });
     std::sort(one.crashes.begin(), one.crashes.end(), [this](const ServerCrashId& left, const ServerCrashId& right) {
       return crashes_.at(left).at < crashes_.at(right).at;
     });
--- a/source/core/router/quarantine/crash_quarantine.h
+++ b/source/core/router/quarantine/crash_quarantine.h
@@ -38,7 +38,7 @@
   /// A server beside this process ended.
   /// @return what all others are to be told.
   ServerCrashesFrame onLocalCrash(const ServerCrashId& id, const std::vector<RequestFingerprint>& unanswered,
-                              TimePoint now);
+                                  TimePoint now);
 
   /// Another process has told this.
   /// @return what is to be passed on to others; empty where nothing is new, or nothing points at one request yet.
@@ -119,7 +119,8 @@
   /// Judges anew what a change to the request's ends can bear on: all that were unanswered at one of them.
   void reevaluateAffected(const RequestFingerprint& request);
   /// @return all ends at which the request was unanswered.
-  void collectCrashes(const RequestFingerprint& request, TimePoint now, std::map<ServerCrashId, ServerCrash>& found) const;
+  void collectCrashes(const RequestFingerprint& request, TimePoint now,
+                      std::map<ServerCrashId, ServerCrash>& found) const;
   ServerCrash toMessage(const Crashes::value_type& crash, TimePoint now) const;
   void setQuarantineEnd(Suspect& suspect, TimePoint proved, TimePoint recorded);
 
--- a/test/router/peer_links_test.cc
+++ b/test/router/peer_links_test.cc
@@ -17,10 +17,10 @@
  protected:
   PeerClientTest()
       : directory_(NodeName("self"), ZoneName("z"), {}, random_),
-        peer_client_(loop_, clock_, {NodeName("self"), Incarnation{1}}, directory_,
-                     {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
-                      [](const OwnerTableFrame&) {}, [] { return ServerCrashesFrame{}; }, [](const ServerCrashesFrame&) {}}) {
-  }
+        peer_client_(
+            loop_, clock_, {NodeName("self"), Incarnation{1}}, directory_,
+            {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
+             [](const OwnerTableFrame&) {}, [] { return ServerCrashesFrame{}; }, [](const ServerCrashesFrame&) {}}) {}
 
   void knowNodeAt(const Endpoint& endpoint) {
     NodeRecord record;
