--- a/test/core_router/owner_table_test.cc
+++ b/test/core_router/owner_table_test.cc
@@ -13,9 +13,9 @@
 
 using std::chrono::seconds;
 
-const OwnerPlace kFirst{InstanceId("i-1"), NodeName("n-1")};
-const OwnerPlace kSecond{InstanceId("i-2"), NodeName("n-2")};
-const OwnerPlace kThird{InstanceId("i-3"), NodeName("n-3")};
+const OwnerLocation kFirst{InstanceId("i-1"), NodeName("n-1")};
+const OwnerLocation kSecond{InstanceId("i-2"), NodeName("n-2")};
+const OwnerLocation kThird{InstanceId("i-3"), NodeName("n-3")};
 
 leaf::result<OwnerTable> decoded(const std::string& text) { return OwnerTable::decode(text); }
 
@@ -24,7 +24,7 @@
 }
 
 TEST(OwnerTableTest, FirstDivisionCoversAllKeys) {
-  const OwnerTable table = OwnerTable::divide({kFirst, kSecond, kThird});
+  const OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond, kThird});
   ASSERT_EQ(table.ranges().size(), 3U);
   std::uint32_t keys = 0;
   for (const OwnedRange& range : table.ranges()) {
@@ -37,7 +37,7 @@
 
 // Seen: the busiest keys lie close together, and fell to one server at first.
 TEST(OwnerTableTest, FirstDivisionMayGiveRangesInTurn) {
-  const OwnerTable table = OwnerTable::divide({kFirst, kSecond}, 3);
+  const OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond}, 3);
   ASSERT_EQ(table.ranges().size(), 6U);
   std::uint32_t keys = 0;
   for (std::size_t i = 0; i < 6; ++i) {
@@ -48,7 +48,7 @@
 }
 
 TEST(OwnerTableTest, ReleaseLeavesRoomForItsOwnToken) {
-  OwnerTable table = OwnerTable::divide({kFirst, kSecond});
+  OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond});
   const auto released = table.beginRelease({100, 199}, kFirst.instance);
   ASSERT_TRUE(released);
   EXPECT_EQ(table.ranges().size(), 4U);
@@ -60,7 +60,7 @@
 }
 
 TEST(OwnerTableTest, OnlyTheOwnerReleasesAndOnlyOnce) {
-  OwnerTable table = OwnerTable::divide({kFirst, kSecond});
+  OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond});
   EXPECT_FALSE(table.beginRelease({100, 199}, kSecond.instance));
   EXPECT_FALSE(table.beginRelease({32000, 33000}, kFirst.instance)) << "spans two ranges";
   ASSERT_TRUE(table.beginRelease({100, 199}, kFirst.instance));
@@ -68,7 +68,7 @@
 }
 
 TEST(OwnerTableTest, AbortedReleaseRaisesTheToken) {
-  OwnerTable table = OwnerTable::divide({kFirst});
+  OwnerTable table = OwnerTable::divideEvenly({kFirst});
   const auto released = table.beginRelease({0, 9}, kFirst.instance);
   table.abortRelease({0, 9});
   EXPECT_FALSE(table.find(5)->releasing);
@@ -76,14 +76,14 @@
 }
 
 TEST(OwnerTableTest, JoinsNeighboursUnderAHigherToken) {
-  OwnerTable table = OwnerTable::divide({kFirst, kSecond});
+  OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond});
   table.beginRelease({32768, 40000}, kSecond.instance);
   table.assign({32768, 40000}, kFirst, {});
   const FenceToken before = table.find(32768)->token;
-  EXPECT_TRUE(table.joinNeighbours(kFirst.instance));
-  EXPECT_EQ(table.find(0)->keys, (KeySpan{0, 40000}));
+  EXPECT_TRUE(table.mergeAdjacentRanges(kFirst.instance));
+  EXPECT_EQ(table.find(0)->keys, (KeyRange{0, 40000}));
   EXPECT_GT(table.find(0)->token, before);
-  EXPECT_FALSE(table.joinNeighbours(kFirst.instance));
+  EXPECT_FALSE(table.mergeAdjacentRanges(kFirst.instance));
 }
 
 TEST(OwnerTableTest, TextThatIsNoTableIsRefused) {
@@ -97,15 +97,15 @@
 }
 
 RC_GTEST_PROP(OwnerTableProperty, TextBringsTheSameTableBackAndTokensRise, (const std::vector<std::uint16_t>& cuts)) {
-  OwnerTable table = OwnerTable::divide({kFirst, kSecond, kThird});
-  const std::vector<OwnerPlace> places = {kFirst, kSecond, kThird};
+  OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond, kThird});
+  const std::vector<OwnerLocation> places = {kFirst, kSecond, kThird};
   for (const std::uint16_t cut : cuts) {
     const OwnedRange before = *table.find(cut);
     const auto released = table.beginRelease({cut, before.keys.last}, before.owner);
     RC_ASSERT(released.has_value());
     RC_ASSERT(table.assign(released->keys, places[cut % 3], "h"));
     RC_ASSERT(table.find(cut)->token > before.token + 1);
-    table.joinNeighbours(places[cut % 3].instance);
+    table.mergeAdjacentRanges(places[cut % 3].instance);
     RC_ASSERT(decodedOrEmpty(table.encode()) == table);
   }
 }
@@ -126,7 +126,7 @@
   for (Key key = 100; key < 200; ++key) {
     meter.add(key, 1.0, now);
   }
-  const auto cut = meter.cut({0, 999}, 30.0, 45.0, now);
+  const auto cut = meter.cutFromEnd({0, 999}, 30.0, 45.0, now);
   ASSERT_TRUE(cut);
   EXPECT_NEAR(meter.sum(*cut, now), 30.0, 1.0);
   EXPECT_TRUE(cut->first == 0 || cut->last == 999);
@@ -136,7 +136,7 @@
   KeyMeter meter(seconds(2));
   const TimePoint now{seconds(1)};
   meter.add(500, 100.0, now);
-  EXPECT_FALSE(meter.cut({0, 999}, 10.0, 15.0, now));
+  EXPECT_FALSE(meter.cutFromEnd({0, 999}, 10.0, 15.0, now));
 }
 
 TEST(KeyMeterTest, SplitsIntoRunsOfLikeWork) {
@@ -149,7 +149,7 @@
   ASSERT_EQ(runs.size(), 4U);
   EXPECT_EQ(runs.front().first, 0);
   EXPECT_EQ(runs.back().last, 999);
-  for (const KeySpan& run : runs) {
+  for (const KeyRange& run : runs) {
     EXPECT_NEAR(meter.sum(run, now), 25.0, 1.0);
   }
   EXPECT_EQ(meter.split({2000, 2999}, 4, now).size(), 1U);
--- a/test/core_router/owner_view_test.cc
+++ b/test/core_router/owner_view_test.cc
@@ -9,7 +9,7 @@
 namespace {
 
 const OwnerTable kTable =
-    OwnerTable::divide({{InstanceId("i-1"), NodeName("n-1")}, {InstanceId("i-2"), NodeName("n-2")}});
+    OwnerTable::divideEvenly({{InstanceId("i-1"), NodeName("n-1")}, {InstanceId("i-2"), NodeName("n-2")}});
 constexpr StoreRevision kRevision = 10;
 
 OwnerHint hint(StoreRevision revision, Key first, Key last, const std::string& owner) {
--- a/test/core_router/ownership_test.cc
+++ b/test/core_router/ownership_test.cc
@@ -22,7 +22,7 @@
     world_.run(seconds(4));
     ASSERT_EQ(world_.servedKeys(), world_.sampledKeys());
   }
-  void TearDown() override { expectSound(world_); }
+  void TearDown() override { expectNoViolations(world_); }
 
   void expectAllServed() { EXPECT_EQ(world_.servedKeys(), world_.sampledKeys()); }
 
--- a/test/core_router/report_filter_test.cc
+++ b/test/core_router/report_filter_test.cc
@@ -19,19 +19,19 @@
 
 TEST(ReportFilterTest, LateAndForeignReportsDontCount) {
   ReportFilter filter(ServiceName("s"), {"10.0.0.1", 80});
-  EXPECT_TRUE(filter.counts(report("i-1", 4)));
-  EXPECT_FALSE(filter.counts(report("i-1", 4)));
-  EXPECT_FALSE(filter.counts(report("i-1", 3)));
-  EXPECT_TRUE(filter.counts(report("i-1", 5)));
-  EXPECT_TRUE(filter.counts(report("i-2", 1)));
-  filter.ended(InstanceId("i-1"));
-  EXPECT_FALSE(filter.counts(report("i-1", 9)));
+  EXPECT_TRUE(filter.accept(report("i-1", 4)));
+  EXPECT_FALSE(filter.accept(report("i-1", 4)));
+  EXPECT_FALSE(filter.accept(report("i-1", 3)));
+  EXPECT_TRUE(filter.accept(report("i-1", 5)));
+  EXPECT_TRUE(filter.accept(report("i-2", 1)));
+  filter.markEnded(InstanceId("i-1"));
+  EXPECT_FALSE(filter.accept(report("i-1", 9)));
   ServerReport other = report("i-3", 1);
   other.service = ServiceName("t");
-  EXPECT_FALSE(filter.counts(other));
+  EXPECT_FALSE(filter.accept(other));
   other = report("i-3", 1);
   other.address.port = 81;
-  EXPECT_FALSE(filter.counts(other));
+  EXPECT_FALSE(filter.accept(other));
 }
 
 TEST(ReportFilterTest, OfOneServersLivesOnlyTheLatestCounts) {
@@ -42,19 +42,19 @@
     made.instance = lifeOf(ServerId("i-1"), start);
     return made;
   };
-  EXPECT_TRUE(filter.counts(life(2000, 5)));
-  EXPECT_TRUE(filter.counts(life(3000, 1)));
-  EXPECT_TRUE(filter.counts(life(3000, 2)));
-  EXPECT_FALSE(filter.counts(life(2000, 6)));
-  EXPECT_FALSE(filter.counts(report("i-1", 99))) << "a report without a start, of a server that tells it";
+  EXPECT_TRUE(filter.accept(life(2000, 5)));
+  EXPECT_TRUE(filter.accept(life(3000, 1)));
+  EXPECT_TRUE(filter.accept(life(3000, 2)));
+  EXPECT_FALSE(filter.accept(life(2000, 6)));
+  EXPECT_FALSE(filter.accept(report("i-1", 99))) << "a report without a start, of a server that tells it";
 }
 
 TEST(ReportFilterTest, ReportsWithoutANumberCount) {
   ReportFilter filter(ServiceName("s"), {"10.0.0.1", 80});
   ServerReport unnumbered = report("i-1", 0);
   unnumbered.sequence.reset();
-  EXPECT_TRUE(filter.counts(unnumbered));
-  EXPECT_TRUE(filter.counts(unnumbered));
+  EXPECT_TRUE(filter.accept(unnumbered));
+  EXPECT_TRUE(filter.accept(unnumbered));
 }
 
 }  // namespace
--- a/test/core_router/restorable_store_test.cc
+++ b/test/core_router/restorable_store_test.cc
@@ -14,10 +14,10 @@
 
 class RestorableStoreTest : public ::testing::Test {
  protected:
-  /// The store answers a read in that era.
-  void hear(StoreEra era) {
+  /// The store answers a read in that epoch.
+  void hear(StoreEra epoch) {
     store_.get("k", "other", [](const StoreAnswer&) {});
-    raw_.gets.back().done({StoreStatus::Absent, {}, era});
+    raw_.gets.back().done({StoreStatus::Absent, {}, epoch});
   }
 
   MetadataStore::AnswerCallback keep() {
@@ -41,8 +41,8 @@
   hear(3);
   EXPECT_TRUE(restored_.empty());
   hear(4);
-  store_.noteEra(4);
-  store_.noteEra(6);
+  store_.observePeerEpoch(4);
+  store_.observePeerEpoch(6);
   EXPECT_EQ(restored_, (std::vector<std::pair<StoreEra, StoreEra>>{{3, 4}, {4, 6}}));
 }
 
--- a/test/core_router/restored_store_ownership_test.cc
+++ b/test/core_router/restored_store_ownership_test.cc
@@ -17,19 +17,19 @@
 constexpr std::size_t kNodes = 4;
 constexpr std::uint64_t kSeed = 20261203;
 
-OwnershipConfig configOf(GrantForm grants) {
+OwnershipConfig configOf(GrantDelivery grants) {
   OwnershipConfig config;
-  config.grants = grants;
+  config.grant_delivery = grants;
   return config;
 }
 
-class RestoredStoreOwnershipTest : public ::testing::TestWithParam<GrantForm> {
+class RestoredStoreOwnershipTest : public ::testing::TestWithParam<GrantDelivery> {
  protected:
   void SetUp() override {
     world_.run(seconds(6));
     ASSERT_EQ(world_.servedKeys(), world_.sampledKeys());
   }
-  void TearDown() override { expectSound(world_); }
+  void TearDown() override { expectNoViolations(world_); }
 
   /// Moves all keys of a node to others.
   void moveAway(std::size_t node) {
@@ -62,7 +62,7 @@
   world.run(seconds(4));
   EXPECT_EQ(world.table().value, before.value);
   EXPECT_EQ(world.servedKeys(), world.sampledKeys());
-  expectSound(world);
+  expectNoViolations(world);
 }
 
 TEST_P(RestoredStoreOwnershipTest, LeavingServerHandsItsKeysOverAfterwards) {
@@ -114,26 +114,26 @@
 
 // What was granted unseen in the second era may be as new as the second rise.
 TEST_P(RestoredStoreOwnershipTest, SecondRestoreBeginsTheWaitAnew) {
-  const auto era_of_table = [&] {
+  const auto epoch_of_table = [&] {
     const auto table = OwnerTable::decode(world_.table().value);
-    return table ? table.value().era() : 0;
+    return table ? table.value().epoch() : 0;
   };
   world_.copyStore();
   world_.restoreStore();
   world_.run(seconds(2));
-  ASSERT_EQ(era_of_table(), 1U);
+  ASSERT_EQ(epoch_of_table(), 1U);
   world_.restoreStore();
   // One heartbeat or renewal at most until they hear of it; the longest hold is 2 s.
   world_.run(milliseconds(1900));
-  EXPECT_EQ(era_of_table(), 1U);
+  EXPECT_EQ(epoch_of_table(), 1U);
   world_.run(seconds(6));
-  EXPECT_EQ(era_of_table(), 3U);
+  EXPECT_EQ(epoch_of_table(), 3U);
 }
 
 // Each of many owners reads the table, and some write it: a few calls each, not all at once.
 TEST(RestoredStoreCallsTest, WritesOfATableDoNotGrowWithItsOwners) {
   for (const std::size_t nodes : {10U, 30U}) {
-    OwnershipWorld world(nodes, kSeed, configOf(GrantForm::Request));
+    OwnershipWorld world(nodes, kSeed, configOf(GrantDelivery::Request));
     world.run(seconds(20));
     ASSERT_EQ(world.servedKeys(), world.sampledKeys());
     world.copyStore();
@@ -142,7 +142,7 @@
     world.run(seconds(6));
     EXPECT_LE(world.tableWrites() - before, 3U) << nodes << " nodes";
     EXPECT_EQ(world.servedKeys(), world.sampledKeys());
-    expectSound(world);
+    expectNoViolations(world);
   }
 }
 
@@ -169,8 +169,10 @@
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
-INSTANTIATE_TEST_SUITE_P(Forms, RestoredStoreOwnershipTest, ::testing::Values(GrantForm::Request, GrantForm::Heartbeat),
-                         [](const auto& form) { return form.param == GrantForm::Request ? "Request" : "Heartbeat"; });
+INSTANTIATE_TEST_SUITE_P(Forms, RestoredStoreOwnershipTest,
+                         ::testing::Values(GrantDelivery::Request, GrantDelivery::Heartbeat), [](const auto& form) {
+                           return form.param == GrantDelivery::Request ? "Request" : "Heartbeat";
+                         });
 
 /// @return how many seeds are played; more than the usual number for a long run by hand.
 std::uint64_t seedCount() {
@@ -254,7 +256,8 @@
     world_.run(milliseconds(100 + random_.below(3000)));
   }
 
-  OwnershipWorld world_{kNodes, GetParam(), configOf(GetParam() % 2 == 0 ? GrantForm::Heartbeat : GrantForm::Request)};
+  OwnershipWorld world_{kNodes, GetParam(),
+                        configOf(GetParam() % 2 == 0 ? GrantDelivery::Heartbeat : GrantDelivery::Request)};
   SeededRandom random_{GetParam() + 1};
   std::vector<bool> dead_ = std::vector<bool>(kNodes, false);
   std::vector<bool> without_server_ = std::vector<bool>(kNodes, false);
--- a/test/core_router/server_directory_test.cc
+++ b/test/core_router/server_directory_test.cc
@@ -94,8 +94,8 @@
   reply.load = {0, 0, 10, 0, 800};
   directory_.onReply(NodeName("a"), "r", reply, kNow);
   EXPECT_EQ(choose(RouteKind::OnceOnly, 100)["a"], 0);
-  EXPECT_NEAR(directory_.failing(NodeName("a"), kNow + seconds(2)), 0.4, 0.01);
-  EXPECT_LT(directory_.failing(NodeName("a"), kNow + seconds(10)), 0.03);
+  EXPECT_NEAR(directory_.failureRatio(NodeName("a"), kNow + seconds(2)), 0.4, 0.01);
+  EXPECT_LT(directory_.failureRatio(NodeName("a"), kNow + seconds(10)), 0.03);
 }
 
 TEST_F(ServerDirectoryTest, TriedDrainingAndUnreachableServersAreLeftOut) {
@@ -106,21 +106,21 @@
   EXPECT_TRUE(directory_.isUnreachable(NodeName("b")));
   directory_.onReachable(NodeName("b"));
   EXPECT_FALSE(directory_.isUnreachable(NodeName("b")));
-  EXPECT_EQ(directory_.ready(kService).size(), 2U);
+  EXPECT_EQ(directory_.availableServers(kService).size(), 2U);
 }
 
 // Seen: each second some requests went to a machine without power, and waited for it.
 TEST_F(ServerDirectoryTest, ServersOfEvacuatedZonesAreLeftOutWhileTheyAre) {
   directory_.setEvacuated({ZoneName("far")});
   EXPECT_EQ(choose(RouteKind::Idempotent, 100)["a"], 100);
-  EXPECT_EQ(directory_.ready(kService).size(), 1U);
+  EXPECT_EQ(directory_.availableServers(kService).size(), 1U);
   directory_.setEvacuated({ZoneName("far"), ZoneName("near")});
   EXPECT_EQ(choose(RouteKind::Idempotent, 10)["none"], 10);
-  EXPECT_TRUE(directory_.isEvacuatedWhole(kService));
-  EXPECT_FALSE(directory_.isEvacuatedWhole(ServiceName("another")));
+  EXPECT_TRUE(directory_.isFullyEvacuated(kService));
+  EXPECT_FALSE(directory_.isFullyEvacuated(ServiceName("another")));
   directory_.setEvacuated({});
-  EXPECT_EQ(directory_.ready(kService).size(), 3U);
-  EXPECT_FALSE(directory_.isEvacuatedWhole(kService));
+  EXPECT_EQ(directory_.availableServers(kService).size(), 3U);
+  EXPECT_FALSE(directory_.isFullyEvacuated(kService));
 }
 
 TEST_F(ServerDirectoryTest, UnreachableServerIsNotChosenBeforeItAnswers) {
@@ -138,7 +138,7 @@
   restarted.incarnation = Incarnation{5};
   directory_.update(restarted);
   EXPECT_FALSE(directory_.isUnreachable(NodeName("b")));
-  EXPECT_EQ(directory_.ready(kService).size(), 3U);
+  EXPECT_EQ(directory_.availableServers(kService).size(), 3U);
 }
 
 // Seen: the reply that is made up for a broken stream made a dead node look alive, and it was asked again
--- a/test/core_router/server_presence_test.cc
+++ b/test/core_router/server_presence_test.cc
@@ -31,11 +31,11 @@
 }
 
 TEST_F(ServerPresenceTest, NewLifeTakesThePlaceOfTheOldAndIsNotDraining) {
-  EXPECT_EQ(presence_.onReport(report("i-1", 1)), PresenceChange::NewLife);
+  EXPECT_EQ(presence_.onReport(report("i-1", 1)), PresenceChange::NewInstance);
   EXPECT_EQ(presence_.onReport(report("i-1", 2)), PresenceChange::Updated);
   EXPECT_TRUE(presence_.startDraining());
   EXPECT_FALSE(presence_.startDraining());
-  EXPECT_EQ(presence_.onReport(report("i-2", 1)), PresenceChange::NewLife);
+  EXPECT_EQ(presence_.onReport(report("i-2", 1)), PresenceChange::NewInstance);
   EXPECT_FALSE(presence_.draining());
   EXPECT_EQ(presence_.onReport(report("i-1", 9)), PresenceChange::None);
   EXPECT_EQ(presence_.instance(), InstanceId("i-2"));
@@ -67,15 +67,15 @@
   presence_.onGone();
   EXPECT_TRUE(presence_.instance().empty());
   EXPECT_EQ(presence_.onReport(report("i-1", 2)), PresenceChange::None);
-  EXPECT_EQ(presence_.onReport(report("i-2", 1)), PresenceChange::NewLife);
+  EXPECT_EQ(presence_.onReport(report("i-2", 1)), PresenceChange::NewInstance);
 }
 
 // The server starts again under its id: its counts start anew, and so does all that it said.
 TEST_F(ServerPresenceTest, LaterStartOfTheSameServerIsItsNextLife) {
-  EXPECT_EQ(presence_.onReport(report("i-1", 50, 1000)), PresenceChange::NewLife);
+  EXPECT_EQ(presence_.onReport(report("i-1", 50, 1000)), PresenceChange::NewInstance);
   presence_.startDraining();
   EXPECT_FALSE(presence_.contradicts(report("i-1", 1, 2000)));
-  EXPECT_EQ(presence_.onReport(report("i-1", 1, 2000)), PresenceChange::NewLife);
+  EXPECT_EQ(presence_.onReport(report("i-1", 1, 2000)), PresenceChange::NewInstance);
   EXPECT_FALSE(presence_.draining());
   EXPECT_EQ(presence_.onReport(report("i-1", 51, 1000)), PresenceChange::None);
   EXPECT_EQ(presence_.instance(), lifeOf(ServerId("i-1"), 2000));
@@ -85,7 +85,7 @@
   presence_.onReport(report("i-1", 50, 1000));
   presence_.onGone();
   EXPECT_EQ(presence_.onReport(report("i-1", 51, 1000)), PresenceChange::None);
-  EXPECT_EQ(presence_.onReport(report("i-1", 1, 2000)), PresenceChange::NewLife);
+  EXPECT_EQ(presence_.onReport(report("i-1", 1, 2000)), PresenceChange::NewInstance);
 }
 
 TEST_F(ServerPresenceTest, LateLeavingOfTheEarlierLifeIsNotThePresentOnes) {
--- a/test/core_router/staleness_bound_test.cc
+++ b/test/core_router/staleness_bound_test.cc
@@ -28,11 +28,11 @@
   for (int run = 0; run < 100; ++run) {
     StalenessBound bound(limits_, kStart);
     TimePoint now = kStart;
-    while (!bound.due(now, 16, random_)) {
+    while (!bound.shouldQuery(now, 16, random_)) {
       now += kTick;
     }
-    EXPECT_GE(now - kStart, limits_.least);
-    EXPECT_LE(now - kStart, limits_.most);
+    EXPECT_GE(now - kStart, limits_.min_staleness);
+    EXPECT_LE(now - kStart, limits_.max_staleness);
   }
 }
 
@@ -48,9 +48,9 @@
       const auto told = std::find_if(asked.rbegin(), asked.rend(), [&](TimePoint at) { return now - at >= kTold; });
       const TimePoint told_at = told == asked.rend() ? kStart : *told;
       for (StalenessBound& bound : bounds) {
-        bound.noteNewest(told_at);
-        if (bound.due(now, processes, random_)) {
-          bound.noteNewest(now);
+        bound.noteFreshAt(told_at);
+        if (bound.shouldQuery(now, processes, random_)) {
+          bound.noteFreshAt(now);
           asked.push_back(now);
         }
       }
@@ -67,9 +67,9 @@
   StalenessBound bound(limits_, kStart);
   int asked = 0;
   for (TimePoint now = kStart; now < kStart + std::chrono::seconds(8); now += kTick) {
-    bound.noteNewest(kStart - milliseconds(100));
-    bound.noteNewest(kStart);
-    if (bound.due(now, 71, random_)) {
+    bound.noteFreshAt(kStart - milliseconds(100));
+    bound.noteFreshAt(kStart);
+    if (bound.shouldQuery(now, 71, random_)) {
       ++asked;
       bound.onFailed(now);
     }
@@ -80,9 +80,9 @@
 
 TEST_F(StalenessBoundTest, WhatOthersKnewLongAgoIsNoNews) {
   StalenessBound bound(limits_, kStart);
-  bound.noteNewest(kStart - std::chrono::seconds(5));
+  bound.noteFreshAt(kStart - std::chrono::seconds(5));
   EXPECT_EQ(bound.staleness(kStart), Duration::zero());
-  EXPECT_TRUE(bound.due(kStart + limits_.most, 16, random_));
+  EXPECT_TRUE(bound.shouldQuery(kStart + limits_.max_staleness, 16, random_));
 }
 
 }  // namespace
--- a/test/core_router/takeover_watcher_test.cc
+++ b/test/core_router/takeover_watcher_test.cc
@@ -50,7 +50,7 @@
 // Seen: an owner went for good while the store was down for all; its keys stayed without service for 16 s.
 TEST_F(TakeoverWatcherTest, LeaseIsOverWhenItsHolderSaidSoIfItStillStands) {
   const TimePoint end = clock_.now() + seconds(3);
-  watcher_.noteLease(node_, {7, end, end});
+  watcher_.onPeerLease(node_, {7, end, end});
   readLeaseAt(7);
   EXPECT_FALSE(revokesAfter(end + config_.lease_margin - milliseconds(1) - clock_.now()));
   EXPECT_TRUE(revokesAfter(milliseconds(1)));
@@ -59,7 +59,7 @@
 
 TEST_F(TakeoverWatcherTest, RenewalThatWasNotHeardOfCountsInFull) {
   const TimePoint end = clock_.now() + seconds(3);
-  watcher_.noteLease(node_, {7, end, end});
+  watcher_.onPeerLease(node_, {7, end, end});
   readLeaseAt(8);
   EXPECT_FALSE(revokesAfter(config_.lease + config_.lease_margin - milliseconds(1)));
   EXPECT_TRUE(revokesAfter(milliseconds(1)));
@@ -67,8 +67,8 @@
 
 TEST_F(TakeoverWatcherTest, WhatIsHeardLateOfAnEarlierRenewalIsForgotten) {
   const TimePoint end = clock_.now() + seconds(6);
-  watcher_.noteLease(node_, {8, end, end});
-  watcher_.noteLease(node_, {7, end - seconds(4), end - seconds(4)});
+  watcher_.onPeerLease(node_, {8, end, end});
+  watcher_.onPeerLease(node_, {7, end - seconds(4), end - seconds(4)});
   readLeaseAt(8);
   EXPECT_FALSE(revokesAfter(end + config_.lease_margin - milliseconds(1) - clock_.now()));
   EXPECT_TRUE(revokesAfter(milliseconds(1)));
@@ -79,7 +79,7 @@
   for (const char* text : {"7", "[]", "null", R"({"incarnation":"x","count":-1,"revoked":"yes"})", "{"}) {
     const LeaseRecord record = LeaseRecord::decode(text);
     EXPECT_FALSE(record.revoked) << text;
-    EXPECT_EQ(record.count, 0U) << text;
+    EXPECT_EQ(record.renewal_count, 0U) << text;
   }
 }
 
@@ -88,7 +88,7 @@
   OwnershipConfig config_;
   ScriptedStore store_;
   SetClock clock_;
-  LeaseKeeper lease_{{NodeName("self"), Incarnation{3}}, config_, store_, clock_, [] {}};
+  LeaseManager lease_{{NodeName("self"), Incarnation{3}}, config_, store_, clock_, [] {}};
 };
 
 TEST_F(LeaseKeeperTest, OnlyARenewalOfThisProcessIsTold) {
--- a/test/core_router/zone_evacuation_test.cc
+++ b/test/core_router/zone_evacuation_test.cc
@@ -20,40 +20,42 @@
   ZoneEvacuation evacuation_{kWithin};
 };
 
-TEST_F(ZoneEvacuationTest, NothingIsBegunBeforeItIsKnown) { EXPECT_EQ(evacuation_.phase(kNow), Evacuation::Complete); }
+TEST_F(ZoneEvacuationTest, NothingIsBegunBeforeItIsKnown) {
+  EXPECT_EQ(evacuation_.phase(kNow), EvacuationPhase::Complete);
+}
 
 TEST_F(ZoneEvacuationTest, WhereZonesCantBeEvacuatedAllIsBegun) {
-  EXPECT_EQ(ZoneEvacuation(Duration::zero()).phase(kNow), Evacuation::None);
+  EXPECT_EQ(ZoneEvacuation(Duration::zero()).phase(kNow), EvacuationPhase::None);
 }
 
 TEST_F(ZoneEvacuationTest, KeysMoveFirstThenNothingIsBegun) {
-  EXPECT_TRUE(evacuation_.onKnown(false, kNow));
-  EXPECT_EQ(evacuation_.phase(kNow), Evacuation::None);
-  EXPECT_TRUE(evacuation_.onKnown(true, kNow));
-  EXPECT_EQ(evacuation_.phase(kNow + kKeysMove - milliseconds(1)), Evacuation::KeysMove);
-  EXPECT_EQ(evacuation_.phase(kNow + kKeysMove), Evacuation::Complete);
+  EXPECT_TRUE(evacuation_.update(false, kNow));
+  EXPECT_EQ(evacuation_.phase(kNow), EvacuationPhase::None);
+  EXPECT_TRUE(evacuation_.update(true, kNow));
+  EXPECT_EQ(evacuation_.phase(kNow + kKeysMove - milliseconds(1)), EvacuationPhase::MovingKeys);
+  EXPECT_EQ(evacuation_.phase(kNow + kKeysMove), EvacuationPhase::Complete);
 }
 
 TEST_F(ZoneEvacuationTest, TheSameNewsChangesNothing) {
-  evacuation_.onKnown(false, kNow);
-  evacuation_.onKnown(true, kNow);
-  EXPECT_FALSE(evacuation_.onKnown(true, kNow + seconds(1)));
-  EXPECT_EQ(evacuation_.phase(kNow + kKeysMove), Evacuation::Complete);
+  evacuation_.update(false, kNow);
+  evacuation_.update(true, kNow);
+  EXPECT_FALSE(evacuation_.update(true, kNow + seconds(1)));
+  EXPECT_EQ(evacuation_.phase(kNow + kKeysMove), EvacuationPhase::Complete);
 }
 
 TEST_F(ZoneEvacuationTest, WhoLearnsOfItAtItsStartBeginsNothing) {
-  EXPECT_TRUE(evacuation_.onKnown(true, kNow));
-  EXPECT_EQ(evacuation_.phase(kNow), Evacuation::Complete);
+  EXPECT_TRUE(evacuation_.update(true, kNow));
+  EXPECT_EQ(evacuation_.phase(kNow), EvacuationPhase::Complete);
 }
 
 // Withdrawn and asked for anew: the second one has its own time.
 TEST_F(ZoneEvacuationTest, EachWishHasItsOwnTime) {
-  evacuation_.onKnown(false, kNow);
-  evacuation_.onKnown(true, kNow);
-  EXPECT_TRUE(evacuation_.onKnown(false, kNow + seconds(1)));
-  EXPECT_EQ(evacuation_.phase(kNow + seconds(1)), Evacuation::None);
-  evacuation_.onKnown(true, kNow + seconds(1));
-  EXPECT_EQ(evacuation_.phase(kNow + kKeysMove), Evacuation::KeysMove);
+  evacuation_.update(false, kNow);
+  evacuation_.update(true, kNow);
+  EXPECT_TRUE(evacuation_.update(false, kNow + seconds(1)));
+  EXPECT_EQ(evacuation_.phase(kNow + seconds(1)), EvacuationPhase::None);
+  evacuation_.update(true, kNow + seconds(1));
+  EXPECT_EQ(evacuation_.phase(kNow + kKeysMove), EvacuationPhase::MovingKeys);
 }
 
 }  // namespace
--- a/test/router/cluster_knowledge_test.cc
+++ b/test/router/cluster_knowledge_test.cc
@@ -54,7 +54,7 @@
   static KnownRevisions withTable(StoreRevision revision) { return {{}, {}, revision, 0, 0}; }
 
   ObjectCopy tableAt(StoreRevision revision) const {
-    const OwnerTable table = OwnerTable::divide({{InstanceId("i-1"), owner_}});
+    const OwnerTable table = OwnerTable::divideEvenly({{InstanceId("i-1"), owner_}});
     return {ownerTableName(keyed_), revision, table.encode()};
   }
 
--- a/test/router/evacuation_test.cc
+++ b/test/router/evacuation_test.cc
@@ -14,7 +14,7 @@
 constexpr int kUnavailable = 503;
 constexpr int kTries = 400;
 
-class EvacuationTest : public ::testing::TestWithParam<GrantForm> {
+class EvacuationTest : public ::testing::TestWithParam<GrantDelivery> {
  protected:
   void SetUp() override {
     for (const char* zone : {"north", "south"}) {
@@ -112,7 +112,8 @@
   EXPECT_EQ(cluster_.ask(*cluster_.nodes()[0], "/search/x", "7").http.status, kUnavailable);
 }
 
-INSTANTIATE_TEST_SUITE_P(BothForms, EvacuationTest, ::testing::Values(GrantForm::Request, GrantForm::Heartbeat));
+INSTANTIATE_TEST_SUITE_P(BothForms, EvacuationTest,
+                         ::testing::Values(GrantDelivery::Request, GrantDelivery::Heartbeat));
 
 }  // namespace
 }  // namespace shedlever::test
--- a/test/router/gateway_test.cc
+++ b/test/router/gateway_test.cc
@@ -52,7 +52,7 @@
       : log_(loop_, clock_, open("/dev/null", O_WRONLY | O_CLOEXEC)),
         directory_(self_.name, ZoneName("z"), {}, random_),
         links_(loop_, clock_, self_, directory_,
-               {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
+               {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const PeerLease&) {},
                 [](const OwnerTableFrame&) {}, [] { return ServerEndsFrame{}; }, [](const ServerEndsFrame&) {}}),
         gateway_(self_, ServiceName("own"), {1.0, 100}, ports()) {
     RouterConfig config;
--- a/test/router/peer_links_test.cc
+++ b/test/router/peer_links_test.cc
@@ -18,7 +18,7 @@
   PeerLinksTest()
       : directory_(NodeName("self"), ZoneName("z"), {}, random_),
         links_(loop_, clock_, {NodeName("self"), Incarnation{1}}, directory_,
-               {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
+               {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const PeerLease&) {},
                 [](const OwnerTableFrame&) {}, [] { return ServerEndsFrame{}; }, [](const ServerEndsFrame&) {}}) {}
 
   void knowNodeAt(const Endpoint& endpoint) {
--- a/test/router/restarted_server_test.cc
+++ b/test/router/restarted_server_test.cc
@@ -14,7 +14,7 @@
 constexpr int kOk = 200;
 constexpr int kTries = 100;
 
-class RestartedServerTest : public ::testing::TestWithParam<GrantForm> {
+class RestartedServerTest : public ::testing::TestWithParam<GrantDelivery> {
  protected:
   void SetUp() override {
     cluster_.setKeepsIds(true);
@@ -102,7 +102,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(BothFormsOfGrants, RestartedServerTest,
-                         ::testing::Values(GrantForm::Request, GrantForm::Heartbeat));
+                         ::testing::Values(GrantDelivery::Request, GrantDelivery::Heartbeat));
 
 }  // namespace
 }  // namespace shedlever::test
--- a/test/router/router_process_test.cc
+++ b/test/router/router_process_test.cc
@@ -127,7 +127,7 @@
 
   bool isServed(const std::string& key) { return cluster_.ask(node(2), "/search/x", key).http.status == kOk; }
 
-  RouterCluster cluster_{GrantForm::Heartbeat};
+  RouterCluster cluster_{GrantDelivery::Heartbeat};
 };
 
 TEST_F(HeartbeatRouterProcessTest, LeavingOwnersKeysAreServedByAnother) {
--- a/test/router/store_caller_test.cc
+++ b/test/router/store_caller_test.cc
@@ -53,7 +53,7 @@
                    clock_,
                    {NodeName("self"), Incarnation{1}},
                    directory_,
-                   {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
+                   {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const PeerLease&) {},
                     [](const OwnerTableFrame&) {}, [] { return ServerEndsFrame{}; }, [](const ServerEndsFrame&) {}}};
   EventLog log_{loop_, clock_, dup(STDERR_FILENO)};
   RouterMetrics metrics_;
--- a/test/support/ownership_expectations.h
+++ b/test/support/ownership_expectations.h
@@ -10,7 +10,7 @@
 namespace shedlever::sim::test {
 
 /// Fails with the first promise that was broken, if any was.
-inline void expectSound(const OwnershipWorld& world) {
+inline void expectNoViolations(const OwnershipWorld& world) {
   if (!world.violations().empty()) {
     ADD_FAILURE() << world.violations().front();
   }
@@ -18,7 +18,7 @@
 
 /// All faults end and all processes and servers start again: every key is served once that has settled.
 inline void expectRecovery(OwnershipWorld& world, std::size_t nodes) {
-  expectSound(world);
+  expectNoViolations(world);
   for (std::size_t node = 0; node < nodes; ++node) {
     world.setStoreFaults(node, {});
     world.setOrderFaults(node, {});
@@ -26,7 +26,7 @@
     world.restartNode(node);
   }
   world.run(std::chrono::seconds(30));
-  expectSound(world);
+  expectNoViolations(world);
   EXPECT_EQ(world.servedKeys(), world.sampledKeys());
 }
 
--- a/test/support/router_cluster.cc
+++ b/test/support/router_cluster.cc
@@ -39,7 +39,7 @@
 
 }  // namespace
 
-RouterCluster::RouterCluster(GrantForm grants)
+RouterCluster::RouterCluster(GrantDelivery grants)
     : grants_(grants),
       folder_(std::filesystem::temp_directory_path() / ("router-cluster-" + std::to_string(getpid()))) {
   std::filesystem::create_directories(folder_);
@@ -107,7 +107,7 @@
   server.listen = kAnyLoopbackPort;
   server.service = service;
   server.divided_by_key = service == "search";
-  server.keys_by_heartbeat = grants_ == GrantForm::Heartbeat;
+  server.keys_by_heartbeat = grants_ == GrantDelivery::Heartbeat;
   server.work = work;
   server.log_file = (folder_ / (name + ".log")).string();
   server.fatal_path = fatal_path_;
@@ -133,7 +133,7 @@
   settings.server = node.server->endpoint();
   settings.store = store_->endpoint();
   settings.retry = {0.1, 100};
-  settings.ownership.grants = grants_;
+  settings.ownership.grant_delivery = grants_;
   settings.ownership.first_division_delay = milliseconds(10);
   settings.stop.clients_leave = milliseconds(750);
   settings.stop.grace = grace_;
--- a/test/support/router_cluster.h
+++ b/test/support/router_cluster.h
@@ -38,7 +38,7 @@
   };
 
   /// @param grants how the servers of "search" take their keys.
-  explicit RouterCluster(GrantForm grants = GrantForm::Request);
+  explicit RouterCluster(GrantDelivery grants = GrantDelivery::Request);
 
   /// Zone of nodes that are added from now on; with it operators may evacuate zones.
   void setZone(const std::string& zone) { zone_ = zone; }
@@ -107,7 +107,7 @@
   void startServer(Node& node);
   void startRouter(Node& node);
 
-  GrantForm grants_;
+  GrantDelivery grants_;
   EventLoop loop_;
   std::filesystem::path folder_;
   platform::ClientProtocolImpl clients_;
