--- a/source/core/router/evacuated_zones.cc
+++ b/source/core/router/evacuated_zones.cc
@@ -24,11 +24,11 @@
   }
 }
 
-bool EvacuatedZones::forgetBefore(StoreEpoch epoch) {
+bool EvacuatedZones::dropEpochsBefore(StoreEpoch epoch) {
   return std::erase_if(objects_, [epoch](const auto& entry) { return entry.second.revision.epoch < epoch; }) > 0;
 }
 
-void EvacuatedZones::take(const std::vector<ObjectCopy>& told) {
+void EvacuatedZones::adoptPeerCopies(const std::vector<ObjectCopy>& told) {
   if (known_) {
     return;
   }
--- a/source/core/router/owner_table.h
+++ b/source/core/router/owner_table.h
@@ -18,17 +18,17 @@
 /// A fencing token. Rises over the whole table; a server that has seen one for a key refuses all lower ones.
 using FenceToken = std::uint64_t;
 
-struct KeySpan {
+struct KeyRange {
   Key first = 0;
   Key last = 0;  ///< included
 
   bool contains(Key key) const { return first <= key && key <= last; }
   std::uint32_t size() const { return static_cast<std::uint32_t>(last) - first + 1; }
-  auto operator<=>(const KeySpan&) const = default;
+  auto operator<=>(const KeyRange&) const = default;
 };
 
 struct OwnedRange {
-  KeySpan keys;
+  KeyRange keys;
   /// Empty: nobody owns the range.
   InstanceId owner;
   /// Where the owner runs.
@@ -47,10 +47,10 @@
 };
 
 /// A server that may own keys.
-struct OwnerPlace {
+struct OwnerLocation {
   InstanceId instance;
   NodeName node;
-  auto operator<=>(const OwnerPlace&) const = default;
+  auto operator<=>(const OwnerLocation&) const = default;
 };
 
 /// A value; changes are made on a copy and written under the revision that it was read at.
@@ -61,7 +61,7 @@
   /// @param places not empty. @param ranges_each that each of them gets, in turn with the others.
   /// @param epoch of the store that it is written in.
   /// @return a first table that divides all keys evenly.
-  static OwnerTable divide(const std::vector<OwnerPlace>& places, std::uint32_t ranges_each = 1, StoreEpoch epoch = 0);
+  static OwnerTable divideEvenly(const std::vector<OwnerLocation>& places, std::uint32_t ranges_each = 1, StoreEpoch epoch = 0);
 
   /// Begins the next change, in that epoch of the store. The tokens of a later epoch are above all of an earlier one,
   /// also above those of changes that the store has lost.
@@ -72,7 +72,7 @@
   /// @return whether it has had changes that the other one has not: tables of one epoch follow each other in one line,
   /// and
   ///   what was changed in a later epoch stands above all of an earlier one.
-  bool hasMoreChangesThan(const OwnerTable& other) const {
+  bool isNewerThan(const OwnerTable& other) const {
     return std::tie(epoch_, changes_) > std::tie(other.epoch_, other.changes_);
   }
 
@@ -91,26 +91,26 @@
 
   /// Splits the range that holds all of `keys` so that they are a range of their own, under the same owner and token.
   /// @return that range; null when no single range holds them all.
-  OwnedRange* carve(const KeySpan& keys);
+  OwnedRange* splitOff(const KeyRange& keys);
 
   /// Marks keys of one range that its owner is about to release; splits the range if they are a part of it.
   /// @return the marked range; none when `keys` lie in no single range of `owner` that is not releasing already.
-  std::optional<OwnedRange> beginRelease(const KeySpan& keys, const InstanceId& owner);
+  std::optional<OwnedRange> beginRelease(const KeyRange& keys, const InstanceId& owner);
 
   /// Takes the mark back: the owner keeps the range under a new token.
-  void abortRelease(const KeySpan& keys);
+  void abortRelease(const KeyRange& keys);
 
   /// Gives exactly this range to an owner with a token above all that its owners had.
   /// @param rate requests a second that are to be expected for it; 0: not known.
   /// @return false when the table holds no such range.
-  bool assign(const KeySpan& keys, const OwnerPlace& place, const std::string& handover, std::uint32_t rate = 0);
+  bool assign(const KeyRange& keys, const OwnerLocation& place, const std::string& handover, std::uint32_t rate = 0);
 
-  /// @return whether `joinNeighbours` would join anything.
-  bool hasNeighbours(const InstanceId& owner) const;
+  /// @return whether `mergeAdjacentRanges` would join anything.
+  bool hasMergeableRanges(const InstanceId& owner) const;
 
   /// Joins neighbours of one owner under a new token, where neither is releasing.
   /// @return whether anything was joined.
-  bool joinNeighbours(const InstanceId& owner);
+  bool mergeAdjacentRanges(const InstanceId& owner);
 
   /// @return JSON text.
   std::string encode() const;
@@ -121,8 +121,8 @@
   bool operator==(const OwnerTable&) const = default;
 
  private:
-  OwnedRange* exactly(const KeySpan& keys);
-  FenceToken tokenAbove(const OwnedRange& range);
+  OwnedRange* findExact(const KeyRange& keys);
+  FenceToken nextTokenAfter(const OwnedRange& range);
 
   std::vector<OwnedRange> ranges_;
   FenceToken last_token_ = 0;
--- a/source/core/router/restorable_store.h
+++ b/source/core/router/restorable_store.h
@@ -21,7 +21,7 @@
     /// The store has come back from a copy.
     std::function<void(StoreEpoch before, StoreEpoch now)> on_restored;
     /// An answer tells no epoch, as none is told or it can't be read: it is taken for one of the present epoch.
-    std::function<void()> on_era_untold;
+    std::function<void()> on_epoch_missing;
   };
 
   /// @param store tells epochs with its answers. Outlives this.
@@ -31,7 +31,7 @@
   RestorableStore& operator=(const RestorableStore&) = delete;
 
   /// Another process has heard of that epoch.
-  void noteEra(StoreEpoch epoch);
+  void observePeerEpoch(StoreEpoch epoch);
   StoreEpoch epoch() const override { return epoch_; }
 
   void get(const std::string& kind, const std::string& name, AnswerCallback done) override;
@@ -44,19 +44,19 @@
 
  private:
   /// @return whether the revision is of an epoch that is over.
-  bool isOver(const StoreRevision& revision) const { return revision.epoch < epoch_; }
+  bool isFromEndedEpoch(const StoreRevision& revision) const { return revision.epoch < epoch_; }
   /// An answer has come. @return whether it is of the present epoch.
-  bool takeEra(StoreEpoch told);
-  StoreAnswer admit(StoreAnswer answer);
+  bool observeEpoch(StoreEpoch told);
+  StoreAnswer filterByEpoch(StoreAnswer answer);
   WatchResult admit(WatchResult answer, const StoreRevision& after);
   /// Tells what stands as a conflict, for a write whose condition is of an epoch that is over.
-  void refuse(const std::string& kind, const std::string& name, AnswerCallback done);
+  void answerWithConflict(const std::string& kind, const std::string& name, AnswerCallback done);
   /// @return the callback of a call that has no condition.
-  AnswerCallback unconditional(AnswerCallback done);
+  AnswerCallback wrapUnconditional(AnswerCallback done);
   /// @return the callback of a conditional write.
-  AnswerCallback conditional(const StoreRevision& condition, AnswerCallback done);
+  AnswerCallback wrapConditional(const StoreRevision& condition, AnswerCallback done);
   /// @return the callback of a question for changes since a revision.
-  WatchCallback since(const StoreRevision& after, WatchCallback done);
+  WatchCallback wrapWatch(const StoreRevision& after, WatchCallback done);
 
   MetadataStore& store_;
   Events events_;
--- a/source/core/router/takeover_watcher.cc
+++ b/source/core/router/takeover_watcher.cc
@@ -13,36 +13,36 @@
   std::erase_if(challenges_, [&](const auto& entry) { return !suspects.contains(entry.first); });
   for (const NodeName& node : suspects) {
     Challenge& challenge = challenges_[node];
-    if (challenge.since == TimePoint{}) {
-      challenge.since = now;
+    if (challenge.suspected_since == TimePoint{}) {
+      challenge.suspected_since = now;
     }
     if (!challenge.in_flight) {
-      step(node, challenge, delay, now);
+      advance(node, challenge, delay, now);
     }
   }
 }
 
-void TakeoverWatcher::noteLease(const NodeName& node, const HeardLease& lease) {
+void TakeoverWatcher::onPeerLease(const NodeName& node, const PeerLease& lease) {
   if (lease.revision.none()) {
     return;
   }
-  HeardLease& heard = heard_[node];
+  PeerLease& heard = peer_leases_[node];
   if (lease.revision > heard.revision) {
     heard = lease;
   } else if (lease.revision == heard.revision) {
-    heard.over_by = std::min(heard.over_by, lease.over_by);
+    heard.expired_by = std::min(heard.expired_by, lease.expired_by);
   }
 }
 
-TimePoint TakeoverWatcher::overBy(const NodeName& node, const Challenge& challenge) const {
+TimePoint TakeoverWatcher::leaseExpiry(const NodeName& node, const Challenge& challenge) const {
   const TimePoint by_own_count = challenge.read_at + config_.lease;
-  const auto heard = heard_.find(node);
-  const bool same = !challenge.absent && heard != heard_.end() && heard->second.revision == challenge.revision;
-  return same ? std::min(by_own_count, heard->second.over_by) : by_own_count;
+  const auto heard = peer_leases_.find(node);
+  const bool same = !challenge.absent && heard != peer_leases_.end() && heard->second.revision == challenge.revision;
+  return same ? std::min(by_own_count, heard->second.expired_by) : by_own_count;
 }
 
-void TakeoverWatcher::step(const NodeName& node, Challenge& challenge, Duration delay, TimePoint now) {
-  if (now - challenge.since < config_.suspicion) {
+void TakeoverWatcher::advance(const NodeName& node, Challenge& challenge, Duration delay, TimePoint now) {
+  if (now - challenge.suspected_since < config_.suspicion) {
     return;
   }
   // What was read in an earlier epoch of the store proves nothing, and revokes nothing.
@@ -51,7 +51,7 @@
     readLease(node);
     return;
   }
-  if (now >= overBy(node, challenge) + config_.lease_margin + delay) {
+  if (now >= leaseExpiry(node, challenge) + config_.lease_margin + delay) {
     challenge.in_flight = true;
     revoke(node, challenge);
   }
--- a/source/router/cluster_knowledge.cc
+++ b/source/router/cluster_knowledge.cc
@@ -70,12 +70,13 @@
       ports_(ports),
       events_(std::move(events)),
       config_(*ports_.config, configEvents()),
-      config_watcher_(*ports_.loop, *ports_.clock, *ports_.random, *ports_.store,
-                      {ports_.config->kind(), kConfigWatchPause, StalenessLimits{}},
-                      watcherEvents(
-                          *ports_.log, "config",
-                          [this](const MetadataObject& object, bool deleted) { config_.onPart(object, deleted); },
-                          [this] { config_.onListed(); })),
+      config_watcher_(
+          *ports_.loop, *ports_.clock, *ports_.random, *ports_.store,
+          {ports_.config->kind(), kConfigWatchPause, StalenessLimits{}},
+          watcherEvents(
+              *ports_.log, "config",
+              [this](const MetadataObject& object, bool deleted) { config_.onPartChanged(object, deleted); },
+              [this] { config_.onListComplete(); })),
       node_watcher_(*ports_.loop, *ports_.clock, *ports_.random, *ports_.store,
                     {kNodeKind, kNodeWatchPause, kNodeStaleness},
                     watcherEvents(
@@ -107,7 +108,7 @@
       *ports_.log, "evacuation",
       [this](const MetadataObject& object, bool deleted) {
         evacuations_.onObject(object, deleted);
-        if (evacuations_.settled()) {
+        if (evacuations_.isComplete()) {
           onEvacuationsChanged();
         }
       },
@@ -122,7 +123,7 @@
     const StoreEpoch epoch = ports_.store->epoch();
     evacuations_.beginList(epoch);
     ports_.loop->runAfter(kRestoreGracePeriod, [this, alive = alive_, epoch] {
-      if (*alive && evacuations_.forgetBefore(epoch)) {
+      if (*alive && evacuations_.dropEpochsBefore(epoch)) {
         onEvacuationsChanged();
       }
     });
@@ -157,14 +158,14 @@
 
 // Configuration.
 
-ConfigInForce::Events ClusterState::configEvents() {
-  ConfigInForce::Events events;
+ActiveConfig::Events ClusterState::configEvents() {
+  ActiveConfig::Events events;
   events.on_adopted = [this] { onConfigAdopted(); };
-  events.on_not_understood = [this](const Findings& findings) {
+  events.on_invalid = [this](const Findings& findings) {
     ports_.log->write("config", "not-understood",
                       {{"revision", toString(config_watcher_.seen())}, {"findings", toString(findings)}});
   };
-  events.on_older_part = [this](const MetadataObject& part, const StoreRevision& known) {
+  events.on_stale_part = [this](const MetadataObject& part, const StoreRevision& known) {
     ports_.log->write("config", "ignored-older",
                       {{"part", part.name}, {"revision", toString(part.revision)}, {"known", toString(known)}});
   };
@@ -186,7 +187,7 @@
   table_poller_.scheduleNextList();
 }
 
-void ClusterState::onPeerConfig(const ConfigFrame& told) { config_.onTold(told.parts); }
+void ClusterState::onPeerConfig(const ConfigFrame& told) { config_.onPeerConfig(told.parts); }
 
 std::optional<ConfigFrame> ClusterState::configNewerThan(ConfigVersion known) const {
   if (config_.comparableVersion() <= known) {
@@ -279,7 +280,7 @@
   return std::any_of(services.begin(), services.end(), [this](const auto& entry) {
     const auto& [name, service] = entry;
     return service.divided_by_key && !stored_objects_.contains(ownerTableName(name)) &&
-           !ports_.directory->ready(name).empty();
+           !ports_.directory->availableServers(name).empty();
   });
 }
 
@@ -447,10 +448,10 @@
     events_.on_epoch_observed(copy.revision.epoch);
     onStoredObject({copy.name, copy.revision, copy.value}, false);
   }
-  config_.onTold(state.config);
+  config_.onPeerConfig(state.config);
   nodes_listed_ = true;
   if (!evacuationsKnown()) {
-    evacuations_.take(state.evacuations);
+    evacuations_.adoptPeerCopies(state.evacuations);
     onEvacuationsChanged();
   }
   onListed(tables_listed_);
--- a/source/router/cluster_knowledge.h
+++ b/source/router/cluster_knowledge.h
@@ -136,7 +136,7 @@
   KindPoller::Events pollerEvents();
   void createEvacuationWatcher();
   void onEvacuationsChanged();
-  ConfigInForce::Events configEvents();
+  ActiveConfig::Events configEvents();
   void onConfigAdopted();
   /// Another process has told which version is in force there: asks for it if the store can't tell it here, since this
   /// process has read its copy alone.
@@ -164,7 +164,7 @@
   ServiceName own_service_;
   ClusterStatePorts ports_;
   ClusterStateEvents events_;
-  ConfigInForce config_;
+  ActiveConfig config_;
   KindWatcher config_watcher_;
   KindWatcher node_watcher_;
   KindPoller table_poller_;
--- a/source/router/kind_watcher.cc
+++ b/source/router/kind_watcher.cc
@@ -86,7 +86,7 @@
   if (news.revision <= newest_seen_) {
     // Nothing was missed up to there. The store forgets its history: who asks from too far back has to list all.
     synced_revision_ = std::max(synced_revision_, news.synced_revision);
-    staleness_bound_.noteNewest(clock_.now() - Duration(news.staleness_us));
+    staleness_bound_.noteFreshAt(clock_.now() - Duration(news.staleness_us));
     return;
   }
   onNewerRevisionAtPeer(news.revision);
@@ -135,7 +135,7 @@
 }
 
 void KindWatcher::tick(std::size_t processes) {
-  if (listed_ && staleness_bound_.due(clock_.now(), processes, random_)) {
+  if (listed_ && staleness_bound_.shouldQuery(clock_.now(), processes, random_)) {
     check();
   }
 }
@@ -168,7 +168,7 @@
   const Duration stale = staleness();
   const StoreRevision seen = newest_seen_;
   applyEvents(answer);
-  staleness_bound_.noteNewest(asked_at);
+  staleness_bound_.noteFreshAt(asked_at);
   const bool pauses = clock_.now() < paused_until_;
   if (newest_seen_ > seen && !pauses) {
     events_.on_watch_missed_events(stale);
@@ -203,7 +203,7 @@
     }
     backoff_.onSuccess();
     // The answer may have been long under way: it tells what stood when it was asked for.
-    staleness_bound_.noteNewest(asked_at);
+    staleness_bound_.noteFreshAt(asked_at);
     listed_ = true;
     synced_revision_ = listing.revision;
     if (events_.on_list_start) {
@@ -243,7 +243,7 @@
   setAvailable(true);
   backoff_.onSuccess();
   applyEvents(answer);
-  staleness_bound_.noteNewest(clock_.now());
+  staleness_bound_.noteFreshAt(clock_.now());
   const TimePoint now = clock_.now();
   const bool burst = !answer.events.empty() && now - last_events_ < kBurstWindow + options_.burst_pause;
   if (!answer.events.empty()) {
--- a/source/router/router_process.cc
+++ b/source/router/router_process.cc
@@ -147,7 +147,7 @@
 
 void RouterProcess::createOwnershipManager() {
   ownership_manager_ =
-      std::make_unique<OwnershipKeeper>(self_, settings_.service, settings_.ownership, ownershipPorts());
+      std::make_unique<OwnershipManager>(self_, settings_.service, settings_.ownership, ownershipPorts());
   gate_.setOwnershipManager(ownership_manager_.get());
   cluster_state_.setOwnTable(&ownership_manager_->tableWriter());
   if (const MetadataObject* table = cluster_state_.ownTableObject()) {
@@ -213,7 +213,7 @@
 
 void RouterProcess::onEvacuationsChanged() {
   const bool was_evacuated = evacuation_.evacuated();
-  if (!evacuation_.onKnown(cluster_state_.evacuations().contains(settings_.zone), clock_.now())) {
+  if (!evacuation_.update(cluster_state_.evacuations().contains(settings_.zone), clock_.now())) {
     return;
   }
   if (evacuation_.evacuated() != was_evacuated) {
@@ -231,7 +231,7 @@
 }
 
 void RouterProcess::applyEvacuation() {
-  const Evacuation phase = evacuation_.phase(clock_.now());
+  const EvacuationPhase phase = evacuation_.phase(clock_.now());
   if (phase != gate_.evacuation()) {
     gate_.setEvacuation(phase);
   }
@@ -298,10 +298,11 @@
   }
   ownership_manager_->onKeyReport(*report->keys);
   setKeysLapsed(false);
-  responder_.take(*report->keys, [this, replier, report = *report->keys](const std::optional<KeyAssignment>& keys) {
-    replier.reply(platform_.reports->acknowledgement(keys ? &*keys : nullptr));
-    logAcknowledgement(report, keys);
-  });
+  responder_.onHeartbeat(*report->keys,
+                         [this, replier, report = *report->keys](const std::optional<KeyAssignment>& keys) {
+                           replier.reply(platform_.reports->acknowledgement(keys ? &*keys : nullptr));
+                           logAcknowledgement(report, keys);
+                         });
 }
 
 /// Acknowledgements that only renew what the server holds are not logged.
@@ -354,7 +355,7 @@
     if (running == serverIdOf(report.instance)) {
       applyReport(report);
     } else if (!running.empty() && running == serverIdOf(server_.instance())) {
-      server_.onEarlierLife(report.instance);
+      server_.onEarlierInstanceEnded(report.instance);
     }
   });
 }
@@ -364,7 +365,7 @@
   if (change == PresenceChange::None) {
     return change;
   }
-  if (change == PresenceChange::NewLife) {
+  if (change == PresenceChange::NewInstance) {
     log_.write("server", "up", {{"instance", report.instance.value}, {"slots", std::to_string(report.slots)}});
     if (ownership_manager_) {
       ownership_manager_->serverUp(report.instance, clock_.now());
@@ -372,7 +373,7 @@
   }
   gate_.serverUp(report.instance, report.slots);
   gate_.setCold(report.cold_remaining);
-  if (change == PresenceChange::NewLife && startedBeforeThisProcess(report)) {
+  if (change == PresenceChange::NewInstance && startedBeforeThisProcess(report)) {
     gate_.assumeStartsUsedUp();
   }
   if (report.draining) {
@@ -410,7 +411,7 @@
 }
 
 void RouterProcess::onServerGone() {
-  const bool reports_keys = ownership_manager_ && settings_.ownership.grants == GrantForm::Heartbeat;
+  const bool reports_keys = ownership_manager_ && settings_.ownership.grant_delivery == GrantDelivery::Heartbeat;
   if (server_.instance().empty() || !server_.refusalProvesEnd(reports_keys)) {
     return;
   }
@@ -456,7 +457,7 @@
   post([this] {
     tick_scheduled_ = false;
     ownership_manager_->tick(clock_.now());
-    responder_.check();
+    responder_.respondIfDue();
   });
 }
 
@@ -469,11 +470,11 @@
     cluster_state_.tick();
   }
   if (ownership_manager_) {
-    ownership_manager_->setWork(gate_.offeredWork());
-    ownership_manager_->setFailing(gate_.failureRatio());
+    ownership_manager_->setOfferedLoad(gate_.offeredWork());
+    ownership_manager_->setFailureRatio(gate_.failureRatio());
     ownership_manager_->tick(clock_.now());
-    responder_.check();
-    setKeysLapsed(ownership_manager_->serverLapsed(clock_.now()));
+    responder_.respondIfDue();
+    setKeysLapsed(ownership_manager_->serverGrantsLapsed(clock_.now()));
     connectToServicePeers();
   }
   runAfter(kTickInterval, [this] { tick(); });
@@ -486,7 +487,7 @@
     }
   }
   // Keys are given to nodes that were heard of alone, also to those that own none yet.
-  for (const NodeRecord* record : directory_.ready(settings_.service)) {
+  for (const NodeRecord* record : directory_.availableServers(settings_.service)) {
     if (record->node != self_.name) {
       peer_client_.ensureConnected(record->node);
     }
@@ -526,7 +527,7 @@
 
 void RouterProcess::pollStopCompletion() {
   const Duration passed = clock_.now() - stop_started_at_;
-  const bool keys_gone = !ownership_manager_ || server_.instance().empty() || ownership_manager_->holdsNothing();
+  const bool keys_gone = !ownership_manager_ || server_.instance().empty() || ownership_manager_->ownsNothing();
   // An answer that is given but not written whole, or not taken, would be cut.
   const bool all_written =
       clients_->busyConnections() == 0 && peer_server_->unsentBytes() == 0 && pacer_.backlog() == 0;
--- a/source/router/router_process.h
+++ b/source/router/router_process.h
@@ -137,7 +137,7 @@
   NodeRecordPublisher publisher_;
   ClusterState cluster_state_;
   ZoneEvacuation evacuation_;
-  std::unique_ptr<OwnershipKeeper> ownership_manager_;
+  std::unique_ptr<OwnershipManager> ownership_manager_;
   HeartbeatResponder responder_;
   ClaimManager claims_;
   StatusPages status_pages_;
--- a/source/router/router_process_wiring.cc
+++ b/source/router/router_process_wiring.cc
@@ -44,10 +44,10 @@
       peer_client_.send(node, *state);
     }
   };
-  events.on_lease = [this](const NodeName& node, const HeardLease& lease) {
+  events.on_lease = [this](const NodeName& node, const PeerLease& lease) {
     cluster_state_.noteLease(node, lease.valid_until);
     if (ownership_manager_) {
-      ownership_manager_->noteLease(node, lease);
+      ownership_manager_->onPeerLease(node, lease);
     }
   };
   events.on_owner_table = [this](const OwnerTableFrame& frame) { cluster_state_.onOwnerTable(frame.table); };
@@ -60,14 +60,14 @@
 RestorableStore::Events RouterProcess::storeEvents() {
   RestorableStore::Events events;
   events.on_restored = [this](StoreEpoch before, StoreEpoch now) { onStoreRestored(before, now); };
-  events.on_era_untold = [this] { onEpochMissing(); };
+  events.on_epoch_missing = [this] { onEpochMissing(); };
   return events;
 }
 
 ClusterStateEvents RouterProcess::clusterStateEvents() {
   ClusterStateEvents events;
   events.on_node_records_restored = [this](const NodeRecord* own) { publisher_.onStoreRestored(own); };
-  events.on_epoch_observed = [this](StoreEpoch epoch) { store_.noteEra(epoch); };
+  events.on_epoch_observed = [this](StoreEpoch epoch) { store_.observePeerEpoch(epoch); };
   events.on_config_adopted = [this] { onConfigAdopted(); };
   events.on_nodes_changed = [this] { gateway_->setProcessCount(directory_.nodes().size()); };
   events.on_unreadable = [this](const std::string& name) { onUnreadable("membership", name); };
@@ -133,7 +133,7 @@
     gateway_->onOwnersChanged();
     scheduleTick();
   };
-  ports.on_given = [this](const MetadataObject& table, const std::set<NodeName>& gainers) {
+  ports.on_keys_transferred = [this](const MetadataObject& table, const std::set<NodeName>& gainers) {
     for (const NodeName& node : gainers) {
       peer_client_.send(node, OwnerTableFrame{{table.name, table.revision, table.value}});
     }
@@ -156,7 +156,7 @@
   ports.would_change = [this](const KeyReport& report) {
     return ownership_manager_ && ownership_manager_->wouldChange(report);
   };
-  ports.acknowledged = [this] {
+  ports.on_acknowledged = [this] {
     if (ownership_manager_) {
       ownership_manager_->onAcknowledged();
     }
--- a/source/router/server_gate.cc
+++ b/source/router/server_gate.cc
@@ -40,8 +40,8 @@
   return load;
 }
 
-OfferedWork ServerGate::offeredWork() const {
-  OfferedWork work;
+OfferedLoad ServerGate::offeredWork() const {
+  OfferedLoad work;
   work.slots = queue_.load().slots;
   work.service_seconds = std::chrono::duration<double>(queue_.meanServiceTime()).count();
   work.demand = ownership_manager_ == nullptr ? 0.0 : ownership_manager_->requestRate() * work.service_seconds;
@@ -114,14 +114,14 @@
   refuseQueuedIf([](const Entry& entry) { return !entry.frame.keyed; }, ForwardReason::Draining);
 }
 
-void ServerGate::setEvacuation(Evacuation evacuation) {
+void ServerGate::setEvacuation(EvacuationPhase evacuation) {
   evacuation_ = evacuation;
   refuseQueuedIf([this](const Entry& entry) { return isEvacuated(entry.frame); }, ForwardReason::Evacuated);
   onKeysChanged();
 }
 
 bool ServerGate::isEvacuated(const ForwardFrame& frame) const {
-  return evacuation_ == Evacuation::Complete || (evacuation_ == Evacuation::KeysMove && !frame.keyed);
+  return evacuation_ == EvacuationPhase::Complete || (evacuation_ == EvacuationPhase::MovingKeys && !frame.keyed);
 }
 
 void ServerGate::setProcessEnd(TimePoint end) {
@@ -182,15 +182,15 @@
   if (!frame.keyed) {
     return ForwardReason::None;
   }
-  const KeyStanding standing =
-      ownership_manager_ == nullptr ? KeyStanding::Elsewhere : ownership_manager_->standing(frame.key, now);
+  const KeyState standing =
+      ownership_manager_ == nullptr ? KeyState::OwnedElsewhere : ownership_manager_->keyState(frame.key, now);
   switch (standing) {
-    case KeyStanding::Held:
+    case KeyState::Held:
       return ForwardReason::None;
-    case KeyStanding::Pending:
-    case KeyStanding::Moving:
+    case KeyState::Pending:
+    case KeyState::Moving:
       return ForwardReason::NotYetOwner;
-    case KeyStanding::Elsewhere:
+    case KeyState::OwnedElsewhere:
       break;
   }
   return ForwardReason::NotOwner;
@@ -252,9 +252,9 @@
 }
 
 bool ServerGate::isKeyInTransit(Key key, TimePoint now) const {
-  const KeyStanding standing =
-      ownership_manager_ == nullptr ? KeyStanding::Elsewhere : ownership_manager_->standing(key, now);
-  return standing == KeyStanding::Pending || standing == KeyStanding::Moving;
+  const KeyState standing =
+      ownership_manager_ == nullptr ? KeyState::OwnedElsewhere : ownership_manager_->keyState(key, now);
+  return standing == KeyState::Pending || standing == KeyState::Moving;
 }
 
 Key ServerGate::rangeStartOf(Key key) const {
--- a/test/core_router/claim_keeper_test.cc
+++ b/test/core_router/claim_keeper_test.cc
@@ -35,9 +35,9 @@
     process.store = std::make_unique<sim::VirtualMetadataStore>(time_, state_, random_);
     RestorableStore::Events events;
     events.on_restored = [&process](StoreEpoch, StoreEpoch) { process.keeper->onStoreRestored(); };
-    events.on_era_untold = [] {};
+    events.on_epoch_missing = [] {};
     process.epochs = std::make_unique<RestorableStore>(*process.store, events);
-    process.epochs->noteEra(state_.revision().epoch);
+    process.epochs->observePeerEpoch(state_.revision().epoch);
     process.keeper = std::make_unique<ClaimManager>(self, *process.epochs, time_, [this](const NodeIdentity& holder) {
       const auto known = lives_.find(holder.name);
       return known == lives_.end() || known->second <= holder.incarnation;
--- a/test/core_router/restorable_store_test.cc
+++ b/test/core_router/restorable_store_test.cc
@@ -42,8 +42,8 @@
   hear(3);
   EXPECT_TRUE(restored_.empty());
   hear(4);
-  store_.noteEra(4);
-  store_.noteEra(6);
+  store_.observePeerEpoch(4);
+  store_.observePeerEpoch(6);
   EXPECT_EQ(restored_, (std::vector<std::pair<StoreEpoch, StoreEpoch>>{{3, 4}, {4, 6}}));
 }
 
--- a/test/router/peer_links_test.cc
+++ b/test/router/peer_links_test.cc
@@ -19,7 +19,7 @@
       : directory_(NodeName("self"), ZoneName("z"), {}, random_),
         peer_client_(
             loop_, clock_, {NodeName("self"), Incarnation{1}}, directory_,
-            {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
+            {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const PeerLease&) {},
              [](const OwnerTableFrame&) {}, [] { return ServerCrashesFrame{}; }, [](const ServerCrashesFrame&) {}}) {}
 
   void knowNodeAt(const Endpoint& endpoint) {
--- a/test/router/store_caller_test.cc
+++ b/test/router/store_caller_test.cc
@@ -54,7 +54,7 @@
       clock_,
       {NodeName("self"), Incarnation{1}},
       directory_,
-      {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const HeardLease&) {},
+      {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const PeerLease&) {},
        [](const OwnerTableFrame&) {}, [] { return ServerCrashesFrame{}; }, [](const ServerCrashesFrame&) {}}};
   EventLog log_{loop_, clock_, dup(STDERR_FILENO)};
   RouterMetrics metrics_;
