--- a/source/core/router/owner_table.cc
+++ b/source/core/router/owner_table.cc
@@ -23,7 +23,8 @@
   ++changes_;
 }
 
-OwnerTable OwnerTable::divideEvenly(const std::vector<OwnerLocation>& places, std::uint32_t ranges_each, StoreEpoch epoch) {
+OwnerTable OwnerTable::divideEvenly(const std::vector<OwnerLocation>& places, std::uint32_t ranges_each,
+                                    StoreEpoch epoch) {
   OwnerTable table;
   table.beginChange(epoch);
   const auto count = static_cast<std::uint32_t>(places.size()) * ranges_each;
--- a/source/core/router/owner_table.h
+++ b/source/core/router/owner_table.h
@@ -61,7 +61,8 @@
   /// @param places not empty. @param ranges_each that each of them gets, in turn with the others.
   /// @param epoch of the store that it is written in.
   /// @return a first table that divides all keys evenly.
-  static OwnerTable divideEvenly(const std::vector<OwnerLocation>& places, std::uint32_t ranges_each = 1, StoreEpoch epoch = 0);
+  static OwnerTable divideEvenly(const std::vector<OwnerLocation>& places, std::uint32_t ranges_each = 1,
+                                 StoreEpoch epoch = 0);
 
   /// Begins the next change, in that epoch of the store. The tokens of a later epoch are above all of an earlier one,
   /// also above those of changes that the store has lost.
--- a/source/core/router/ownership_keeper.cc
+++ b/source/core/router/ownership_keeper.cc
@@ -355,8 +355,8 @@
   }
   if (!places.empty()) {
     const auto each = config_.max_initial_ranges / static_cast<std::uint32_t>(places.size());
-    writer_.create(
-        OwnerTable::divideEvenly(places, std::clamp(each, 1U, config_.initial_ranges_per_server), ports_.store->epoch()));
+    writer_.create(OwnerTable::divideEvenly(places, std::clamp(each, 1U, config_.initial_ranges_per_server),
+                                            ports_.store->epoch()));
   }
 }
 
