--- a/include/shedlever/platform_ports.h
+++ b/include/shedlever/platform_ports.h
@@ -17,8 +17,8 @@
 #include "shedlever/outcome.h"
 #include "shedlever/router_config.h"
 #include "shedlever/router_frames.h"
-#include "shedlever/server_life.h"
-#include "shedlever/server_orders.h"
+#include "shedlever/server_commands.h"
+#include "shedlever/server_instance.h"
 
 namespace shedlever {
 
--- a/include/shedlever/router_frames.h
+++ b/include/shedlever/router_frames.h
@@ -12,7 +12,7 @@
 #include "shedlever/identifiers.h"
 #include "shedlever/outcome.h"
 #include "shedlever/router_config.h"
-#include "shedlever/server_ends.h"
+#include "shedlever/server_crashes.h"
 #include "shedlever/store_revision.h"
 
 namespace shedlever {
--- a/source/cli/cli.cc
+++ b/source/cli/cli.cc
@@ -6,7 +6,7 @@
 #include "source/cli/config_commands.h"
 #include "source/cli/explain_command.h"
 #include "source/cli/operator_commands.h"
-#include "source/core/settings/near_miss.h"
+#include "source/core/settings/name_suggestion.h"
 
 namespace shedlever {
 
--- a/source/cli/cli_arguments.cc
+++ b/source/cli/cli_arguments.cc
@@ -6,7 +6,7 @@
 #include <sstream>
 
 #include "source/core/settings/endpoint_text.h"
-#include "source/core/settings/near_miss.h"
+#include "source/core/settings/name_suggestion.h"
 
 namespace shedlever {
 
--- a/source/core/router/config_in_force.cc
+++ b/source/core/router/active_config.cc
@@ -1,4 +1,4 @@
-#include "source/core/router/config_in_force.h"
+#include "source/core/router/active_config.h"
 
 #include <utility>
 
--- a/source/core/router/service_times.cc
+++ b/source/core/router/duration_estimator.cc
@@ -1,4 +1,4 @@
-#include "source/core/router/service_times.h"
+#include "source/core/router/duration_estimator.h"
 
 namespace shedlever {
 
--- a/source/core/router/duration_text.cc
+++ b/source/core/router/duration_format.cc
@@ -1,4 +1,4 @@
-#include "source/core/router/duration_text.h"
+#include "source/core/router/duration_format.h"
 
 #include <charconv>
 
--- a/source/core/router/grant_channel.h
+++ b/source/core/router/grant_channel.h
@@ -7,7 +7,7 @@
 #include <functional>
 #include <vector>
 
-#include "shedlever/server_orders.h"
+#include "shedlever/server_commands.h"
 #include "source/core/router/owner_table.h"
 
 namespace shedlever {
--- a/source/core/router/key_waits.cc
+++ b/source/core/router/key_wait_estimator.cc
@@ -1,4 +1,4 @@
-#include "source/core/router/key_waits.h"
+#include "source/core/router/key_wait_estimator.h"
 
 namespace shedlever {
 
--- a/source/core/router/ownership_keeper.cc
+++ b/source/core/router/ownership_manager.cc
@@ -1,4 +1,4 @@
-#include "source/core/router/ownership_keeper.h"
+#include "source/core/router/ownership_manager.h"
 
 #include <algorithm>
 #include <cmath>
--- a/source/core/router/ownership_keeper.h
+++ b/source/core/router/ownership_manager.h
@@ -11,14 +11,14 @@
 #include <vector>
 
 #include "shedlever/metadata_store.h"
-#include "shedlever/server_orders.h"
+#include "shedlever/server_commands.h"
 #include "source/core/router/balance_planner.h"
 #include "source/core/router/gained_keys.h"
 #include "source/core/router/heartbeat_grants.h"
 #include "source/core/router/key_meter.h"
 #include "source/core/router/key_moves.h"
-#include "source/core/router/lease_keeper.h"
-#include "source/core/router/ordered_grants.h"
+#include "source/core/router/lease_manager.h"
+#include "source/core/router/request_grants.h"
 #include "source/core/router/server_directory.h"
 #include "source/core/router/table_writer.h"
 #include "source/core/router/takeover_watcher.h"
--- a/source/core/router/quarantine/crash_quarantine.h
+++ b/source/core/router/quarantine/crash_quarantine.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "shedlever/server_ends.h"
+#include "shedlever/server_crashes.h"
 
 namespace shedlever {
 
--- a/source/core/router/ordered_grants.cc
+++ b/source/core/router/request_grants.cc
@@ -1,4 +1,4 @@
-#include "source/core/router/ordered_grants.h"
+#include "source/core/router/request_grants.h"
 
 #include <algorithm>
 #include <utility>
--- a/source/core/router/request_ids.cc
+++ b/source/core/router/request_id_generator.cc
@@ -1,4 +1,4 @@
-#include "source/core/router/request_ids.h"
+#include "source/core/router/request_id_generator.h"
 
 #include <array>
 #include <charconv>
--- a/source/core/router/takeover_watcher.h
+++ b/source/core/router/takeover_watcher.h
@@ -8,7 +8,7 @@
 #include <set>
 
 #include "shedlever/metadata_store.h"
-#include "source/core/router/lease_keeper.h"
+#include "source/core/router/lease_manager.h"
 #include "source/core/router/owner_table.h"
 #include "source/core/router/ownership_config.h"
 
--- a/source/core/router/split_picker.cc
+++ b/source/core/router/traffic_splitter.cc
@@ -1,4 +1,4 @@
-#include "source/core/router/split_picker.h"
+#include "source/core/router/traffic_splitter.h"
 
 #include <algorithm>
 #include <numeric>
--- a/source/core/settings/near_miss.cc
+++ b/source/core/settings/name_suggestion.cc
@@ -1,4 +1,4 @@
-#include "source/core/settings/near_miss.h"
+#include "source/core/settings/name_suggestion.h"
 
 #include <algorithm>
 #include <numeric>
--- a/source/core/settings/settings_documents.cc
+++ b/source/core/settings/settings_documents.cc
@@ -1,6 +1,6 @@
 #include "source/core/settings/settings_documents.h"
 
-#include "source/core/settings/near_miss.h"
+#include "source/core/settings/name_suggestion.h"
 #include "source/core/settings/settings_field.h"
 #include "source/core/settings/settings_tree.h"
 
--- a/source/core/settings/settings_json.cc
+++ b/source/core/settings/settings_json.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-#include "source/core/settings/near_miss.h"
+#include "source/core/settings/name_suggestion.h"
 
 namespace shedlever {
 
--- a/source/interface/shedlever_client_protocol.cc
+++ b/source/interface/shedlever_client_protocol.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <charconv>
 
-#include "source/interface/caller_reply.h"
+#include "source/interface/client_response.h"
 #include "source/interface/credentials.h"
 #include "source/interface/header_rules.h"
 #include "source/interface/request_target.h"
--- a/source/lab/sim/scenario.cc
+++ b/source/lab/sim/scenario.cc
@@ -4,7 +4,7 @@
 #include <cstdlib>
 #include <nlohmann/json.hpp>
 
-#include "source/core/router/duration_text.h"
+#include "source/core/router/duration_format.h"
 #include "source/core/router/ownership_fields.h"
 #include "source/net/text_file.h"
 
--- a/source/lab/sim/simulated_server.h
+++ b/source/lab/sim/simulated_server.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "shedlever/server_orders.h"
+#include "shedlever/server_commands.h"
 #include "source/lab/sim/assigned_keys.h"
 #include "source/lab/sim/virtual_store.h"
 
--- a/source/router/cluster_knowledge.cc
+++ b/source/router/cluster_state.cc
@@ -1,9 +1,9 @@
-#include "source/router/cluster_knowledge.h"
+#include "source/router/cluster_state.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "source/core/router/duration_text.h"
+#include "source/core/router/duration_format.h"
 
 namespace shedlever {
 
--- a/source/router/cluster_knowledge.h
+++ b/source/router/cluster_state.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "shedlever/platform_ports.h"
-#include "source/core/router/config_in_force.h"
+#include "source/core/router/active_config.h"
 #include "source/core/router/evacuated_zones.h"
 #include "source/core/router/owner_view.h"
 #include "source/core/router/route_table.h"
--- a/source/router/gate_recorder.cc
+++ b/source/router/gate_recorder.cc
@@ -2,7 +2,7 @@
 
 #include <string>
 
-#include "source/core/router/duration_text.h"
+#include "source/core/router/duration_format.h"
 namespace shedlever {
 
 namespace {
--- a/source/router/gate_recorder.h
+++ b/source/router/gate_recorder.h
@@ -6,7 +6,7 @@
 #include "shedlever/request_fingerprint.h"
 #include "source/router/event_log.h"
 #include "source/router/router_metrics.h"
-#include "source/router/server_link.h"
+#include "source/router/server_client.h"
 
 namespace shedlever {
 
--- a/source/router/gateway.h
+++ b/source/router/gateway.h
@@ -8,16 +8,16 @@
 #include <memory>
 #include <set>
 
+#include "source/core/router/duration_estimator.h"
 #include "source/core/router/owner_view.h"
 #include "source/core/router/quarantine/crash_quarantine.h"
-#include "source/core/router/request_ids.h"
+#include "source/core/router/request_id_generator.h"
 #include "source/core/router/retry_policy.h"
 #include "source/core/router/server_directory.h"
-#include "source/core/router/service_times.h"
-#include "source/core/router/split_picker.h"
+#include "source/core/router/traffic_splitter.h"
 #include "source/router/gateway_recorder.h"
 #include "source/router/gateway_request.h"
-#include "source/router/peer_links.h"
+#include "source/router/peer_client.h"
 #include "source/router/server_gate.h"
 
 namespace shedlever {
--- a/source/router/gateway_recorder.cc
+++ b/source/router/gateway_recorder.cc
@@ -2,7 +2,7 @@
 
 #include <string>
 
-#include "source/core/router/duration_text.h"
+#include "source/core/router/duration_format.h"
 #include "source/net/http_headers.h"
 
 namespace shedlever {
--- a/source/router/gateway_request.h
+++ b/source/router/gateway_request.h
@@ -9,7 +9,7 @@
 #include <set>
 
 #include "shedlever/platform_ports.h"
-#include "source/core/router/claim_keeper.h"
+#include "source/core/router/claim_manager.h"
 #include "source/core/router/route_table.h"
 #include "source/net/strict_http_server.h"
 
--- a/source/router/peer_links.cc
+++ b/source/router/peer_client.cc
@@ -1,10 +1,10 @@
-#include "source/router/peer_links.h"
+#include "source/router/peer_client.h"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
-#include "source/router/peer_options.h"
+#include "source/router/peer_stream_options.h"
 
 namespace shedlever {
 
--- a/source/router/peer_links.h
+++ b/source/router/peer_client.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "shedlever/router_frames.h"
-#include "source/core/router/lease_keeper.h"
+#include "source/core/router/lease_manager.h"
 #include "source/core/router/server_directory.h"
 #include "source/net/message_stream.h"
 #include "source/router/server_gate.h"
--- a/source/router/peer_server.cc
+++ b/source/router/peer_server.cc
@@ -4,7 +4,7 @@
 #include <utility>
 #include <vector>
 
-#include "source/router/peer_options.h"
+#include "source/router/peer_stream_options.h"
 
 namespace shedlever {
 
--- a/source/router/router_process.cc
+++ b/source/router/router_process.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "source/core/router/duration_text.h"
+#include "source/core/router/duration_format.h"
 
 namespace shedlever {
 
--- a/source/router/router_process.h
+++ b/source/router/router_process.h
@@ -11,18 +11,18 @@
 
 #include "shedlever/metadata_store.h"
 #include "shedlever/platform_ports.h"
-#include "source/core/router/claim_keeper.h"
+#include "source/core/router/claim_manager.h"
 #include "source/core/router/heartbeat_responder.h"
 #include "source/core/router/restorable_store.h"
 #include "source/core/router/server_presence.h"
 #include "source/core/router/zone_evacuation.h"
 #include "source/net/system_sources.h"
-#include "source/router/cluster_knowledge.h"
+#include "source/router/cluster_state.h"
 #include "source/router/gateway.h"
 #include "source/router/peer_server.h"
 #include "source/router/quarantine_coordinator.h"
 #include "source/router/status_pages.h"
-#include "source/router/store_caller.h"
+#include "source/router/store_client.h"
 
 namespace shedlever {
 
--- a/source/router/server_link.cc
+++ b/source/router/server_client.cc
@@ -1,4 +1,4 @@
-#include "source/router/server_link.h"
+#include "source/router/server_client.h"
 
 #include <utility>
 
--- a/source/router/server_link.h
+++ b/source/router/server_client.h
@@ -7,7 +7,7 @@
 #include <memory>
 
 #include "shedlever/platform_ports.h"
-#include "shedlever/server_orders.h"
+#include "shedlever/server_commands.h"
 #include "source/net/http_client.h"
 
 namespace shedlever {
--- a/source/router/server_gate.h
+++ b/source/router/server_gate.h
@@ -12,18 +12,18 @@
 #include <unordered_map>
 #include <vector>
 
-#include "source/core/router/answer_sizes.h"
+#include "source/core/router/duration_estimator.h"
 #include "source/core/router/failure_meter.h"
-#include "source/core/router/key_waits.h"
-#include "source/core/router/ownership_keeper.h"
+#include "source/core/router/key_wait_estimator.h"
+#include "source/core/router/ownership_manager.h"
 #include "source/core/router/quarantine/crash_quarantine.h"
 #include "source/core/router/quarantine/unanswered_requests.h"
-#include "source/core/router/service_times.h"
+#include "source/core/router/response_size_estimator.h"
 #include "source/core/router/slot_queue.h"
 #include "source/core/router/zone_evacuation.h"
 #include "source/router/gate_recorder.h"
 #include "source/router/router_settings.h"
-#include "source/router/server_link.h"
+#include "source/router/server_client.h"
 
 namespace shedlever {
 
--- a/source/router/store_caller.cc
+++ b/source/router/store_client.cc
@@ -1,10 +1,10 @@
-#include "source/router/store_caller.h"
+#include "source/router/store_client.h"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
-#include "source/core/router/duration_text.h"
+#include "source/core/router/duration_format.h"
 
 namespace shedlever {
 
--- a/source/router/store_caller.h
+++ b/source/router/store_client.h
@@ -8,7 +8,7 @@
 
 #include "source/net/http_client.h"
 #include "source/router/event_log.h"
-#include "source/router/peer_links.h"
+#include "source/router/peer_client.h"
 #include "source/router/peer_server.h"
 #include "source/router/router_metrics.h"
 
--- a/test/core_router/config_in_force_test.cc
+++ b/test/core_router/active_config_test.cc
@@ -1,7 +1,7 @@
 /// @file
 /// Which configuration is in force, whatever order its parts and versions are told in.
 
-#include "source/core/router/config_in_force.h"
+#include "source/core/router/active_config.h"
 
 #include <gtest/gtest.h>
 
--- a/test/core_router/claim_keeper_test.cc
+++ b/test/core_router/claim_manager_test.cc
@@ -1,7 +1,7 @@
 /// @file
 /// Claims of idempotency keys: one request a key runs, whatever the store and the processes do.
 
-#include "source/core/router/claim_keeper.h"
+#include "source/core/router/claim_manager.h"
 
 #include <gtest/gtest.h>
 
--- a/test/core_router/service_times_test.cc
+++ b/test/core_router/duration_estimator_test.cc
@@ -1,7 +1,7 @@
 /// @file
 /// Expected times of requests by route.
 
-#include "source/core/router/service_times.h"
+#include "source/core/router/duration_estimator.h"
 
 #include <gtest/gtest.h>
 
--- a/test/core_router/key_waits_test.cc
+++ b/test/core_router/key_wait_estimator_test.cc
@@ -1,7 +1,7 @@
 /// @file
 /// Expected waits for keys on their way.
 
-#include "source/core/router/key_waits.h"
+#include "source/core/router/key_wait_estimator.h"
 
 #include <gtest/gtest.h>
 
--- a/test/core_router/link_budget_test.cc
+++ b/test/core_router/link_budget_test.cc
@@ -5,7 +5,7 @@
 
 #include <gtest/gtest.h>
 
-#include "source/core/router/answer_sizes.h"
+#include "source/core/router/response_size_estimator.h"
 
 namespace shedlever {
 namespace {
--- a/test/core_router/routing_test.cc
+++ b/test/core_router/routing_test.cc
@@ -5,7 +5,7 @@
 
 #include "source/core/router/retry_policy.h"
 #include "source/core/router/route_table.h"
-#include "source/core/router/split_picker.h"
+#include "source/core/router/traffic_splitter.h"
 
 namespace shedlever::test {
 namespace {
--- a/test/core_router/start_rate_test.cc
+++ b/test/core_router/start_rate_limiter_test.cc
@@ -6,7 +6,7 @@
 /// slots: with slots alone as the limit one got 33 in one second, and 64 times on one day more than the 27 that it
 /// bears.
 
-#include "source/core/router/start_rate.h"
+#include "source/core/router/start_rate_limiter.h"
 
 #include <gtest/gtest.h>
 
--- a/test/interface/caller_reply_test.cc
+++ b/test/interface/client_response_test.cc
@@ -1,4 +1,4 @@
-#include "source/interface/caller_reply.h"
+#include "source/interface/client_response.h"
 
 #include <gtest/gtest.h>
 
--- a/test/platform_adapter/protocols_test.cc
+++ b/test/platform_adapter/protocols_test.cc
@@ -10,7 +10,7 @@
 #include "platform/platform_store.h"
 #include "platform/report_protocol.h"
 #include "platform/server_protocol.h"
-#include "source/core/router/duration_text.h"
+#include "source/core/router/duration_format.h"
 #include "source/net/http_headers.h"
 
 namespace shedlever::platform::test {
--- a/test/router/cluster_knowledge_test.cc
+++ b/test/router/cluster_state_test.cc
@@ -1,7 +1,7 @@
 /// @file
 /// A newer owner table is asked for where it is known to be, before the store is.
 
-#include "source/router/cluster_knowledge.h"
+#include "source/router/cluster_state.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
--- a/test/router/peer_links_test.cc
+++ b/test/router/peer_client_test.cc
@@ -1,7 +1,7 @@
 /// @file
 /// What becomes of requests when the node that they were sent to falls silent or goes away.
 
-#include "source/router/peer_links.h"
+#include "source/router/peer_client.h"
 
 #include <gtest/gtest.h>
 
--- a/test/router/restored_knowledge_test.cc
+++ b/test/router/restored_cluster_state_test.cc
@@ -7,7 +7,7 @@
 #include <algorithm>
 
 #include "source/net/system_sources.h"
-#include "source/router/cluster_knowledge.h"
+#include "source/router/cluster_state.h"
 #include "test/support/scripted_server.h"
 #include "test/support/scripted_store.h"
 #include "test/support/set_clock.h"
--- a/test/router/store_caller_test.cc
+++ b/test/router/store_client_test.cc
@@ -1,7 +1,7 @@
 /// @file
 /// Calls to a store that refuses this node go through a peer, as long as peers are served.
 
-#include "source/router/store_caller.h"
+#include "source/router/store_client.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
--- a/test/support/fake_peer.h
+++ b/test/support/fake_peer.h
@@ -12,7 +12,7 @@
 
 #include "source/net/message_stream.h"
 #include "source/net/tcp_listener.h"
-#include "source/router/peer_options.h"
+#include "source/router/peer_stream_options.h"
 #include "test/support/scripted_server.h"
 
 namespace shedlever::test {
