--- a/test/router/cluster_knowledge_test.cc
+++ b/test/router/cluster_knowledge_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// A newer owner table is asked for where it is known to be, before the store is.
+/// Tests that the cluster state requests newer owner tables from peers and lists the store when peers can't help.
 
 #include "source/router/cluster_knowledge.h"
 
@@ -16,7 +16,7 @@
 
 using std::chrono::milliseconds;
 
-class NoConfig final : public ConfigProtocol {
+class EmptyConfigProtocol final : public ConfigProtocol {
  public:
   std::string kind() const override { return "config"; }
   bool isPart(const std::string&) const override { return false; }
@@ -40,16 +40,16 @@
     events.on_record = [](const NodeRecord&, bool) {};
     events.on_own_table = [](const MetadataObject&) {};
     events.request_owner_table = [this](const NodeName& node, StoreRevision known) {
-      asked_.emplace_back(node, known);
+      requests_.emplace_back(node, known);
     };
     return events;
   }
 
-  /// @return whether the store is asked for a list within a moment.
+  /// @return whether the store gets a list request within 300 ms.
   bool isListedSoon() {
-    const auto over = std::make_shared<bool>(false);
-    loop_.runAfter(milliseconds(300), [over] { *over = true; });
-    loop_.runUntil([&] { return *over || !store_.lists.empty(); }, kTestCap);
+    const auto elapsed = std::make_shared<bool>(false);
+    loop_.runAfter(milliseconds(300), [elapsed] { *elapsed = true; });
+    loop_.runUntil([&] { return *elapsed || !store_.lists.empty(); }, kTestCap);
     return !store_.lists.empty();
   }
 
@@ -66,10 +66,10 @@
   SetClock clock_;
   SystemRandom random_;
   ScriptedStore store_;
-  NoConfig config_;
+  EmptyConfigProtocol config_;
   EventLog log_{loop_, clock_, dup(STDERR_FILENO)};
   ServerDirectory directory_{NodeName("self"), ZoneName("z"), {}, random_};
-  std::vector<std::pair<NodeName, StoreRevision>> asked_;
+  std::vector<std::pair<NodeName, StoreRevision>> requests_;
   std::vector<std::string> unreadable_;
   ClusterState cluster_state_{NodeName("self"),
                               ServiceName("own"),
@@ -77,40 +77,38 @@
                               events()};
 };
 
-TEST_F(ClusterStateTest, NewerTableIsAskedForWhereItIs) {
+TEST_F(ClusterStateTest, NewerTableAtPeerIsRequestedFromPeerBeforeStore) {
   cluster_state_.onPeerRevisions(owner_, keyed_, withTable(7));
-  ASSERT_EQ(asked_.size(), 1U);
-  EXPECT_EQ(asked_.front(), std::make_pair(owner_, StoreRevision{0}));
+  ASSERT_EQ(requests_.size(), 1U);
+  EXPECT_EQ(requests_.front(), std::make_pair(owner_, StoreRevision{0}));
   EXPECT_TRUE(store_.lists.empty());
   cluster_state_.onOwnerTable(tableAt(7));
   EXPECT_EQ(cluster_state_.ownerOf(keyed_, 5).node, owner_);
   clock_.advance(std::chrono::seconds(5));
   cluster_state_.onPeerRevisions(owner_, keyed_, withTable(7));
-  EXPECT_EQ(asked_.size(), 1U);
+  EXPECT_EQ(requests_.size(), 1U);
 }
 
-TEST_F(ClusterStateTest, OneQuestionIsAskedForAllThatTellOfNewerTablesWithinAWhile) {
+TEST_F(ClusterStateTest, SeveralPeersWithNewerTableCauseOneRequestPerInterval) {
   cluster_state_.onPeerRevisions(owner_, keyed_, withTable(7));
   clock_.advance(milliseconds(100));
   cluster_state_.onPeerRevisions(NodeName("other"), keyed_, withTable(8));
-  EXPECT_EQ(asked_.size(), 1U);
+  EXPECT_EQ(requests_.size(), 1U);
   cluster_state_.onOwnerTable(tableAt(7));
   clock_.advance(std::chrono::seconds(1));
   cluster_state_.onPeerRevisions(NodeName("other"), keyed_, withTable(8));
-  ASSERT_EQ(asked_.size(), 2U);
-  EXPECT_EQ(asked_.back(), std::make_pair(NodeName("other"), StoreRevision{7}));
+  ASSERT_EQ(requests_.size(), 2U);
+  EXPECT_EQ(requests_.back(), std::make_pair(NodeName("other"), StoreRevision{7}));
 }
 
-TEST_F(ClusterStateTest, TablesOfOtherServicesSayNothingAboutAnOlderOne) {
+TEST_F(ClusterStateTest, NewerTableOfOneServiceDoesNotHideMissingTableOfAnother) {
   cluster_state_.onOwnerTable(tableAt(9));
   cluster_state_.onPeerRevisions(NodeName("n"), ServiceName("second"), withTable(5));
-  ASSERT_EQ(asked_.size(), 1U);
-  EXPECT_EQ(asked_.back(), std::make_pair(NodeName("n"), StoreRevision{0}));
+  ASSERT_EQ(requests_.size(), 1U);
+  EXPECT_EQ(requests_.back(), std::make_pair(NodeName("n"), StoreRevision{0}));
 }
 
-// Seen: the one owner of a service's keys went for good. Its keys were taken over, but whoever had asked no other
-// server of that service heard nothing of it from any reply, and refused all its requests until the next list, 8 s
-// later.
+// Without reachable owners no reply names the next owner, so requests would be rejected until the next periodic list.
 TEST_F(ClusterStateTest, TablesAreListedSoonWhileAllOwnersAreUnreachable) {
   NodeRecord record;
   record.node = owner_;
--- a/test/router/evacuation_test.cc
+++ b/test/router/evacuation_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// A zone whose servers are to get nothing: whole paths, over loopback.
+/// End-to-end tests of zone evacuation over loopback.
 
 #include <gtest/gtest.h>
 
@@ -12,7 +12,7 @@
 
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
-constexpr int kTries = 400;
+constexpr int kMaxRounds = 400;
 
 class EvacuationTest : public ::testing::TestWithParam<GrantForm> {
  protected:
@@ -25,8 +25,9 @@
     ASSERT_TRUE(cluster_.runUntilServing());
   }
 
-  /// Asks for all sorts at all machines. @return how many were served.
-  int askAll() {
+  /// Sends requests with and without keys to all nodes.
+  /// @return number of requests that were served.
+  int sendToAllNodes() {
     int served = 0;
     for (const auto& node : cluster_.nodes()) {
       served += cluster_.ask(*node, "/orders/x").http.status == kOk ? 1 : 0;
@@ -37,16 +38,16 @@
     return served;
   }
 
-  std::size_t begunInNorth() const {
+  std::size_t startedInNorth() const {
     return cluster_.nodes()[0]->server->begun() + cluster_.nodes()[1]->server->begun();
   }
 
-  /// Asks until nothing of a whole round has reached the north.
-  bool runUntilNorthIsLeftAlone() {
-    for (int tries = 0; tries < kTries; ++tries) {
-      const std::size_t before = begunInNorth();
-      const int served = askAll();
-      if (begunInNorth() == before && served == kAll) {
+  /// Sends requests until a complete round is served without a request started in the zone "north".
+  bool runUntilNorthIsIdle() {
+    for (int round = 0; round < kMaxRounds; ++round) {
+      const std::size_t before = startedInNorth();
+      const int served = sendToAllNodes();
+      if (startedInNorth() == before && served == kRequestsPerRound) {
         return true;
       }
       cluster_.pause(milliseconds(20));
@@ -54,57 +55,56 @@
     return false;
   }
 
-  static constexpr int kAll = 20;
+  static constexpr int kRequestsPerRound = 20;
 
   mutable RouterCluster cluster_{GetParam()};
 };
 
-TEST_P(EvacuationTest, OtherZonesServeAllAndTheZoneGetsNothing) {
+TEST_P(EvacuationTest, EvacuatedZoneGetsNoRequestsAndOtherZonesServeAll) {
   cluster_.evacuate("north", true);
-  ASSERT_TRUE(runUntilNorthIsLeftAlone());
-  const std::size_t before = begunInNorth();
-  EXPECT_EQ(askAll(), kAll);
-  EXPECT_EQ(begunInNorth(), before);
+  ASSERT_TRUE(runUntilNorthIsIdle());
+  const std::size_t before = startedInNorth();
+  EXPECT_EQ(sendToAllNodes(), kRequestsPerRound);
+  EXPECT_EQ(startedInNorth(), before);
 }
 
-TEST_P(EvacuationTest, WithdrawnTheZoneServesAgain) {
+TEST_P(EvacuationTest, ZoneServesAgainAfterEvacuationEnds) {
   cluster_.evacuate("north", true);
-  ASSERT_TRUE(runUntilNorthIsLeftAlone());
-  const std::size_t before = begunInNorth();
+  ASSERT_TRUE(runUntilNorthIsIdle());
+  const std::size_t before = startedInNorth();
   cluster_.evacuate("north", false);
-  for (int tries = 0; tries < kTries && begunInNorth() == before; ++tries) {
-    askAll();
+  for (int round = 0; round < kMaxRounds && startedInNorth() == before; ++round) {
+    sendToAllNodes();
   }
-  EXPECT_GT(begunInNorth(), before);
+  EXPECT_GT(startedInNorth(), before);
 }
 
-TEST_P(EvacuationTest, RouterThatStartsMeanwhileSendsNothingThere) {
+TEST_P(EvacuationTest, RouterStartedDuringEvacuationSendsNothingToTheZone) {
   cluster_.evacuate("north", true);
-  ASSERT_TRUE(runUntilNorthIsLeftAlone());
-  const std::size_t before = begunInNorth();
+  ASSERT_TRUE(runUntilNorthIsIdle());
+  const std::size_t before = startedInNorth();
   for (const auto& node : cluster_.nodes()) {
     cluster_.restartRouter(*node);
   }
   ASSERT_TRUE(cluster_.runUntilServing());
-  EXPECT_EQ(begunInNorth(), before);
+  EXPECT_EQ(startedInNorth(), before);
 }
 
-// Its process was away when the wish came: its server still holds keys, and gets nothing all the same.
-TEST_P(EvacuationTest, RouterThatWasAwayBeginsNothingForKeysThatItsServerHolds) {
+// The router restarts before it knows of the evacuation, while its server still holds keys.
+TEST_P(EvacuationTest, RestartedRouterStartsNoRequestsForKeysHeldByItsEvacuatedServer) {
   cluster_.evacuate("north", true);
   cluster_.restartRouter(*cluster_.nodes()[0]);
   const std::size_t before = cluster_.nodes()[0]->server->begun();
-  ASSERT_TRUE(runUntilNorthIsLeftAlone());
+  ASSERT_TRUE(runUntilNorthIsIdle());
   EXPECT_EQ(cluster_.nodes()[0]->server->begun(), before);
 }
 
-// The whole service lies in zones that are to get nothing.
-TEST_P(EvacuationTest, OfAllZonesRequestsAreRefused) {
+TEST_P(EvacuationTest, RequestsAreRejectedWhileAllZonesAreEvacuated) {
   cluster_.evacuate("north", true);
   cluster_.evacuate("south", true);
-  int served = kAll;
-  for (int tries = 0; tries < kTries && served > 0; ++tries) {
-    served = askAll();
+  int served = kRequestsPerRound;
+  for (int round = 0; round < kMaxRounds && served > 0; ++round) {
+    served = sendToAllNodes();
     cluster_.pause(milliseconds(20));
   }
   EXPECT_EQ(served, 0);
@@ -112,7 +112,7 @@
   EXPECT_EQ(cluster_.ask(*cluster_.nodes()[0], "/search/x", "7").http.status, kUnavailable);
 }
 
-INSTANTIATE_TEST_SUITE_P(BothForms, EvacuationTest, ::testing::Values(GrantForm::Request, GrantForm::Heartbeat));
+INSTANTIATE_TEST_SUITE_P(GrantForms, EvacuationTest, ::testing::Values(GrantForm::Request, GrantForm::Heartbeat));
 
 }  // namespace
 }  // namespace shedlever::test
--- a/test/router/kind_poller_test.cc
+++ b/test/router/kind_poller_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Objects whose every change need not be seen are listed while some are lacking, and not more often than that. The
-/// times between lists have tests of their own (`ListScheduleTest`).
+/// Tests that a poller lists its kind while objects are missing or outdated, and not more often. The intervals are
+/// tested by `ListScheduleTest`.
 
 #include "source/router/kind_poller.h"
 
@@ -27,16 +27,16 @@
     store_.lists.back().done({available, 1, std::move(objects)});
   }
 
-  /// Runs until so many lists were asked for.
+  /// Runs until the store has received this number of list requests.
   bool runUntilLists(std::size_t count) {
     return loop_.runUntil([&] { return store_.lists.size() >= count; }, kTestCap);
   }
 
-  /// Lets timers that are due run, up to the next one.
-  void runOnce() {
-    bool over = false;
-    loop_.runAfter(milliseconds(60), [&] { over = true; });
-    loop_.runUntil([&] { return over; }, kTestCap);
+  /// Runs the event loop longer than all intervals except the idle one.
+  void runAllTimers() {
+    bool elapsed = false;
+    loop_.runAfter(milliseconds(60), [&] { elapsed = true; });
+    loop_.runUntil([&] { return elapsed; }, kTestCap);
   }
 
   EventLoop loop_;
@@ -55,10 +55,10 @@
                       [this](bool available) { available_.push_back(available); }, [this] { return need_; }}};
 };
 
-TEST_F(KindPollerTest, ListsAgainWhileSomethingNewerIsKnownToExist) {
+TEST_F(KindPollerTest, ListsAgainWhileNewerObjectIsKnownToExist) {
   answer({{"a", 5, "{}"}});
   poller_.scheduleNextList();
-  runOnce();
+  runAllTimers();
   EXPECT_EQ(store_.lists.size(), 1U);
   need_ = ListNeed::Newer;
   poller_.scheduleNextList();
@@ -66,63 +66,62 @@
   ASSERT_TRUE(runUntilLists(2));
   need_ = ListNeed::Nothing;
   answer({{"a", 8, "{}"}});
-  runOnce();
+  runAllTimers();
   EXPECT_EQ(store_.lists.size(), 2U);
   EXPECT_EQ(seen_, (std::vector<StoreRevision>{5, 8}));
 }
 
-TEST_F(KindPollerTest, WhatIsSeenDuringAListIsNotForgotten) {
+TEST_F(KindPollerTest, NeedThatArisesDuringListCausesAnotherList) {
   need_ = ListNeed::Newer;
   poller_.scheduleNextList();
   answer({{"a", 5, "{}"}});
   EXPECT_TRUE(runUntilLists(2));
 }
 
-TEST_F(KindPollerTest, NothingIsListedOnceItHasComeAnotherWay) {
+TEST_F(KindPollerTest, ScheduledListIsCancelledWhenNeedEnds) {
   answer({{"a", 5, "{}"}});
   need_ = ListNeed::Newer;
   poller_.scheduleNextList();
   need_ = ListNeed::Nothing;
   poller_.scheduleNextList();
-  runOnce();
+  runAllTimers();
   EXPECT_EQ(store_.lists.size(), 1U);
 }
 
-TEST_F(KindPollerTest, ListsThatLookForNothingInParticularMayBeStale) {
+TEST_F(KindPollerTest, ListWithoutKnownNewerObjectMayBeStale) {
   answer({});
   ASSERT_TRUE(runUntilLists(2));
   EXPECT_EQ(store_.freshness_of_lists, (std::deque<ListFreshness>{ListFreshness::Latest, ListFreshness::MayBeStale}));
 }
 
-TEST_F(KindPollerTest, LooksSoonForTheFirstObject) {
+TEST_F(KindPollerTest, ListsAgainSoonAfterEmptyList) {
   answer({});
   EXPECT_EQ(listed_, 1);
   EXPECT_TRUE(runUntilLists(2));
 }
 
-// Seen: with several services divided by key, the first list held the first service's table alone, and the
-// others were not looked for until the traffic began.
-TEST_F(KindPollerTest, LooksSoonForAnObjectThatIsMissing) {
+// With several keyed services the first list may contain only some of the tables.
+TEST_F(KindPollerTest, ListsAgainSoonWhileAnObjectIsMissing) {
   need_ = ListNeed::Missing;
   answer({{"a", 5, "{}"}});
   ASSERT_TRUE(runUntilLists(2));
   need_ = ListNeed::Nothing;
   answer({{"a", 5, "{}"}, {"b", 6, "{}"}});
-  runOnce();
+  runAllTimers();
   EXPECT_EQ(store_.lists.size(), 2U);
 }
 
-TEST_F(KindPollerTest, LooksSoonWhenToldThatOneMayBeMissing) {
+TEST_F(KindPollerTest, ListsSoonWhenAnObjectBecomesMissing) {
   answer({{"a", 5, "{}"}});
   poller_.scheduleNextList();
-  runOnce();
+  runAllTimers();
   EXPECT_EQ(store_.lists.size(), 1U);
   need_ = ListNeed::Missing;
   poller_.scheduleNextList();
   EXPECT_TRUE(runUntilLists(2));
 }
 
-TEST_F(KindPollerTest, AsksAgainWhenTheStoreDoesNotAnswer) {
+TEST_F(KindPollerTest, RetriesWhenTheStoreIsUnavailable) {
   answer({}, false);
   EXPECT_EQ(listed_, 0);
   ASSERT_TRUE(runUntilLists(2));
--- a/test/router/kind_watcher_test.cc
+++ b/test/router/kind_watcher_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Following a kind of objects.
+/// Tests of list and watch of one kind of objects.
 
 #include "source/router/kind_watcher.h"
 
@@ -37,8 +37,8 @@
     done(answer);
   }
 
-  /// Lets time pass on the clock; ticks as the process does.
-  void pass(Duration time) {
+  /// Advances the clock in the steps of the process's ticks.
+  void advanceWithTicks(Duration time) {
     constexpr Duration kTick = milliseconds(50);
     for (Duration passed{}; passed < time; passed += kTick) {
       clock_.advance(kTick);
@@ -56,7 +56,7 @@
   bool runUntil(const std::function<bool()>& done) { return loop_.runUntil(done, kTestCap); }
 
   EventLoop loop_;
-  /// As far on as the test says; the loop's timers go by real time.
+  /// Advanced by the tests; the timers of the event loop use real time.
   SetClock clock_;
   SystemRandom random_;
   ScriptedStore store_;
@@ -68,7 +68,7 @@
   KindWatcher watcher_;
 };
 
-TEST_F(KindWatcherTest, ListsThenWatchesFromThere) {
+TEST_F(KindWatcherTest, WatchStartsAtRevisionOfList) {
   answerList(7, {{"a", 5, "{}"}});
   EXPECT_EQ(seen_, std::vector<std::string>{"+a"});
   ASSERT_EQ(store_.watches.size(), 1U);
@@ -79,7 +79,7 @@
   EXPECT_EQ(store_.watches.back().object.revision, 9U);
 }
 
-TEST_F(KindWatcherTest, LostHistoryIsListedAnew) {
+TEST_F(KindWatcherTest, ListsAgainWhenHistoryIsGone) {
   answerList(7, {});
   answerWatch({WatchStatus::HistoryGone, 0, {}});
   EXPECT_EQ(store_.lists.size(), 2U);
@@ -89,7 +89,7 @@
   EXPECT_EQ(causes_, std::vector<ListCause>{ListCause::HistoryGone});
 }
 
-TEST_F(KindWatcherTest, TellsWhenTheStoreIsLostAndRegained) {
+TEST_F(KindWatcherTest, ReportsWhenStoreBecomesUnavailableAndAvailable) {
   answerList(7, {});
   answerWatch({WatchStatus::Unavailable, 0, {}});
   EXPECT_FALSE(available_);
@@ -98,9 +98,8 @@
   EXPECT_TRUE(available_);
 }
 
-// Seen: a store that had gone silent left a watch waiting for 27 s; the configuration and the owners of that time were
-// missed.
-TEST_F(KindWatcherTest, SilentWatchIsGivenUpWhenAnotherProcessHasSeenMore) {
+// An unresponsive store leaves a watch open without a response until its timeout.
+TEST_F(KindWatcherTest, SilentWatchIsReplacedWhenPeerHasSeenNewerRevision) {
   answerList(7, {{"a", 5, "{}"}});
   watcher_.onPeerFreshness({9, 9, 0});
   ASSERT_TRUE(runUntil([&] { return store_.checks.size() == 1; }));
@@ -110,13 +109,13 @@
   EXPECT_EQ(missed_, 1);
   ASSERT_TRUE(runUntil([&] { return store_.watches.size() == 2; }));
   EXPECT_EQ(store_.watches.back().object.revision, 12U);
-  // The first watch answers after all: what it says is old.
+  // The late response to the replaced watch is outdated.
   store_.watches.front().done({WatchStatus::Events, 8, {{false, {"old", 8, "{}"}}}});
   EXPECT_EQ(seen_, (std::vector<std::string>{"+a", "+a"}));
   EXPECT_TRUE(causes_.empty());
 }
 
-TEST_F(KindWatcherTest, WhatNoQuestionBringsIsListed) {
+TEST_F(KindWatcherTest, ListsWhenCheckFailsAndPeerHasSeenNewerRevision) {
   answerList(7, {{"a", 5, "{}"}});
   watcher_.onPeerFreshness({9, 9, 0});
   ASSERT_TRUE(runUntil([&] { return store_.checks.size() == 1; }));
@@ -127,16 +126,16 @@
   EXPECT_EQ(watcher_.seen(), 9U);
 }
 
-TEST_F(KindWatcherTest, AsksWhenWhatItKnowsIsOldAndWatchesAnewIfItMissedSomething) {
+TEST_F(KindWatcherTest, ChecksWhenStaleAndReplacesWatchThatMissedEvents) {
   answerList(7, {{"a", 5, "{}"}});
-  pass(milliseconds(400));
+  advanceWithTicks(milliseconds(400));
   EXPECT_TRUE(store_.checks.empty());
-  pass(milliseconds(1200));
+  advanceWithTicks(milliseconds(1200));
   ASSERT_EQ(store_.checks.size(), 1U);
   answerCheck({WatchStatus::Events, 7, {}});
   EXPECT_EQ(missed_, 0);
   EXPECT_LT(watcher_.staleness(), milliseconds(1200));
-  pass(milliseconds(1600));
+  advanceWithTicks(milliseconds(1600));
   ASSERT_EQ(store_.checks.size(), 2U);
   answerCheck({WatchStatus::Events, 9, {{false, {"a", 9, "{}"}}}});
   EXPECT_EQ(seen_, (std::vector<std::string>{"+a", "+a"}));
@@ -145,72 +144,72 @@
   EXPECT_EQ(store_.watches.back().object.revision, 9U);
 }
 
-TEST_F(KindWatcherTest, AsksNothingWhileAnotherProcessTellsThatItKnowsTheNewest) {
+TEST_F(KindWatcherTest, MakesNoChecksWhilePeerReportsFreshness) {
   answerList(7, {{"a", 5, "{}"}});
   for (int i = 0; i < 10; ++i) {
-    pass(milliseconds(400));
+    advanceWithTicks(milliseconds(400));
     watcher_.onPeerFreshness({5, 30, 1000});
   }
   EXPECT_TRUE(store_.checks.empty());
   EXPECT_EQ(watcher_.freshness().revision, 5U);
   EXPECT_EQ(watcher_.freshness().staleness_us, 1000);
   EXPECT_EQ(watcher_.freshness().at, 30U);
-  // The store may have forgotten what was before.
-  pass(milliseconds(1600));
+  // The check starts at the peer's position, since the store may have dropped older history.
+  advanceWithTicks(milliseconds(1600));
   ASSERT_EQ(store_.checks.size(), 1U);
   EXPECT_EQ(store_.checks.back().object.revision, 30U);
   answerCheck({WatchStatus::Events, 31, {}});
   watcher_.onPeerFreshness({5, 30, 1000});
   EXPECT_EQ(watcher_.freshness().at, 31U);
-  // Who knows nothing of the kind has nothing to tell.
-  pass(milliseconds(200));
+  // A peer that has not listed the kind does not change the staleness.
+  advanceWithTicks(milliseconds(200));
   const auto before = watcher_.freshness().staleness_us;
   watcher_.onPeerFreshness({});
   EXPECT_EQ(watcher_.freshness().staleness_us, before);
 }
 
-TEST_F(KindWatcherTest, AsksLessOftenWhileThereIsNoAnswer) {
+TEST_F(KindWatcherTest, ChecksBackOffWhileStoreIsUnavailable) {
   answerList(7, {{"a", 5, "{}"}});
   std::size_t answered = 0;
   for (int i = 0; i < 200; ++i) {
-    pass(milliseconds(50));
+    advanceWithTicks(milliseconds(50));
     if (store_.checks.size() > answered) {
       answerCheck({WatchStatus::Unavailable, 0, {}});
       ++answered;
     }
   }
-  // In 10 s: at 1.5 s at the latest, then after 0.4, 0.8 and each further 1.6 s.
+  // In 10 s: the first check after at most 1.5 s, the next ones after 0.4 s, 0.8 s and every further 1.6 s.
   EXPECT_GE(answered, 7U);
   EXPECT_LE(answered, 9U);
 }
 
-TEST_F(KindWatcherTest, WhatItsOwnWatchBringsInTimeNeedsNoList) {
+TEST_F(KindWatcherTest, NoListWhenWatchDeliversPeersRevisionInTime) {
   answerList(7, {});
   watcher_.onPeerFreshness({9, 9, 0});
   answerWatch({WatchStatus::Events, 9, {{false, {"a", 9, "{}"}}}});
-  bool over = false;
-  loop_.runAfter(milliseconds(600), [&] { over = true; });
-  ASSERT_TRUE(runUntil([&] { return over; }));
+  bool elapsed = false;
+  loop_.runAfter(milliseconds(600), [&] { elapsed = true; });
+  ASSERT_TRUE(runUntil([&] { return elapsed; }));
   EXPECT_EQ(store_.lists.size(), 1U);
   EXPECT_TRUE(store_.checks.empty());
 }
 
-// Seen at 59 nodes: while tables changed all the time, some other process had always seen more, and every
-// node listed the kind again and again.
-TEST_F(KindWatcherTest, OthersThatKeepSeeingMoreNeedNoList) {
+// While objects change all the time, some peer has always seen a newer revision.
+TEST_F(KindWatcherTest, NoListWhenPeersKeepSeeingNewerRevisions) {
   answerList(7, {});
   watcher_.onPeerFreshness({9, 9, 0});
   answerWatch({WatchStatus::Events, 9, {{false, {"a", 9, "{}"}}}});
   watcher_.onPeerFreshness({11, 11, 0});
-  bool over = false;
-  loop_.runAfter(milliseconds(600), [&] { over = true; });
-  ASSERT_TRUE(runUntil([&] { return over; }));
+  bool elapsed = false;
+  loop_.runAfter(milliseconds(600), [&] { elapsed = true; });
+  ASSERT_TRUE(runUntil([&] { return elapsed; }));
   EXPECT_EQ(store_.lists.size(), 1U);
   EXPECT_TRUE(store_.checks.empty());
 }
 
-// The store counts on from the copy's revision: what is known is of higher ones, and hides all changes until then.
-TEST_F(KindWatcherTest, ListsAnewWhenTheStoreHasComeBackFromACopy) {
+// A restored store assigns lower revisions than the known ones; without the list, changes would be taken for older
+// ones.
+TEST_F(KindWatcherTest, ListsAgainWhenStoreIsRestored) {
   store_.present_era = 1;
   answerList({1, 7}, {{"a", {1, 5}, "{}"}});
   store_.present_era = 2;
@@ -223,20 +222,20 @@
   EXPECT_EQ(store_.watches.back().object.revision, StoreRevision(2, 3));
 }
 
-TEST_F(KindWatcherTest, IsNotListedAnewIfItHasBeenMeanwhile) {
+TEST_F(KindWatcherTest, NoListAfterRestoreIfKindWasListedInNewEpoch) {
   store_.present_era = 1;
   answerList({1, 7}, {});
   store_.present_era = 2;
   watcher_.onStoreRestored();
   answerWatch({WatchStatus::HistoryGone, {}, {}, 2});
   answerList({2, 3}, {});
-  bool over = false;
-  loop_.runAfter(milliseconds(400), [&over] { over = true; });
-  ASSERT_TRUE(runUntil([&] { return over; }));
+  bool elapsed = false;
+  loop_.runAfter(milliseconds(400), [&elapsed] { elapsed = true; });
+  ASSERT_TRUE(runUntil([&] { return elapsed; }));
   EXPECT_EQ(store_.lists.size(), 2U);
 }
 
-TEST_F(KindWatcherTest, WhatIsToldOfAnEarlierEraSaysNothing) {
+TEST_F(KindWatcherTest, IgnoresPeerFreshnessOfEarlierEpoch) {
   store_.present_era = 2;
   answerList({2, 3}, {{"a", {2, 2}, "{}"}});
   clock_.advance(std::chrono::seconds(1));
@@ -246,8 +245,8 @@
   EXPECT_EQ(store_.watches.back().object.revision, StoreRevision(2, 4));
 }
 
-// An answer of a slow store, or one that came through a process that stood still, tells what stood when it was made.
-TEST_F(KindWatcherTest, ListThatWasLongUnderWayIsAsOldAsItsQuestion) {
+// A slow store or a stalled peer may deliver a list that is outdated on arrival.
+TEST_F(KindWatcherTest, StalenessOfSlowListCountsFromItsRequest) {
   clock_.advance(milliseconds(900));
   answerList(7, {});
   EXPECT_EQ(watcher_.staleness(), milliseconds(900));
--- a/test/router/metadata_server_test.cc
+++ b/test/router/metadata_server_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The stand-in of the store comes back from a copy as the platform's does.
+/// Tests the store stand-in's restore from a backup, which behaves as the platform's store.
 
 #include "standins/router/metadata_server.h"
 
@@ -65,7 +65,7 @@
   std::unique_ptr<HttpClient> client_;
 };
 
-TEST_F(MetadataServerTest, GoesBackToItsCopyAndGivesRevisionsOutAgain) {
+TEST_F(MetadataServerTest, RestoreReturnsToBackupAndReusesRevisions) {
   write("POST", "/objects/k", 1);
   call("POST", "/faults", R"({"keep_copy":true})");
   write("PUT", "/objects/k/n", 2);
@@ -79,11 +79,11 @@
   EXPECT_EQ(epochOf(after), "2");
   EXPECT_EQ(write("PUT", "/objects/k/n", 4, 3).status, kConflict);
   EXPECT_EQ(bodyOf(write("PUT", "/objects/k/n", 4, 1))["metadata"]["revision"], 2);
-  // The count that was given out before holds for another state now.
+  // Revision 2 was assigned before the restore as well, to another state.
   EXPECT_EQ(write("PUT", "/objects/k/n", 5, 2).status, kOk);
 }
 
-TEST_F(MetadataServerTest, ChangesSinceARevisionThatTheCopyDoesNotHaveCantBeTold) {
+TEST_F(MetadataServerTest, WatchFromRevisionAboveBackupIsGone) {
   write("POST", "/objects/k", 1);
   call("POST", "/faults", R"({"keep_copy":true})");
   write("PUT", "/objects/k/n", 2);
--- a/test/router/node_records_test.cc
+++ b/test/router/node_records_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The record of a node, and writing the own one.
+/// Tests of the node record's encoding and of publishing this node's record.
 
 #include "source/router/node_records.h"
 
@@ -13,7 +13,7 @@
 namespace shedlever::test {
 namespace {
 
-TEST(NodeRecordTest, TextBringsTheSameRecordBack) {
+TEST(NodeRecordTest, DecodedRecordEqualsEncodedRecord) {
   NodeRecord record;
   record.node = NodeName("n");
   record.incarnation = Incarnation{77};
@@ -32,7 +32,7 @@
   }
 }
 
-TEST(NodeRecordTest, RecordOfAnotherWriterIsNone) {
+TEST(NodeRecordTest, MalformedRecordIsRejected) {
   const std::string start = R"({"node":"n","incarnation":7,"peer":"10.0.0.1:99","zone":"z","service":"s")";
   ASSERT_TRUE(decodeNodeRecord(start + R"(,"slots":18})"));
   for (const char* rest :
@@ -47,7 +47,7 @@
  protected:
   NodeRecordPublisherTest()
       : log_(loop_, clock_, dup(STDERR_FILENO)),
-        publisher_(loop_, store_, log_, [this](const NodeRecord& record) { earlier_ = record; }) {
+        publisher_(loop_, store_, log_, [this](const NodeRecord& record) { previous_ = record; }) {
     record_.node = NodeName("n");
     record_.peer = {"10.0.0.1", 99};
   }
@@ -56,7 +56,7 @@
   BootClockImpl clock_;
   ScriptedStore store_;
   EventLog log_;
-  std::optional<NodeRecord> earlier_;
+  std::optional<NodeRecord> previous_;
   NodeRecordPublisher publisher_;
   NodeRecord record_;
 };
@@ -72,24 +72,24 @@
   EXPECT_EQ(store_.replaces.size(), 1U);
 }
 
-TEST_F(NodeRecordPublisherTest, OverwritesTheRecordOfItsEarlierLife) {
+TEST_F(NodeRecordPublisherTest, OverwritesRecordOfEarlierIncarnation) {
   publisher_.publish(record_);
   store_.creates.back().done({StoreStatus::Conflict, {"node-n", 3, "{}"}});
   ASSERT_EQ(store_.replaces.size(), 1U);
   EXPECT_EQ(store_.replaces.back().object.revision, 0U);
 }
 
-// What the earlier life knew is told before it is overwritten, and goes into what is written next.
-TEST_F(NodeRecordPublisherTest, TellsTheRecordOfItsEarlierLife) {
+// The quarantine of the earlier incarnation would be lost without the report.
+TEST_F(NodeRecordPublisherTest, ReportsRecordOfEarlierIncarnationBeforeOverwriting) {
   publisher_.publish(record_);
-  NodeRecord earlier = record_;
-  earlier.quarantined = {{{1, 2}, 1'800'000'000}};
-  store_.creates.back().done({StoreStatus::Conflict, {"node-n", 3, encodeNodeRecord(earlier)}});
-  EXPECT_EQ(earlier_, earlier);
+  NodeRecord previous = record_;
+  previous.quarantined = {{{1, 2}, 1'800'000'000}};
+  store_.creates.back().done({StoreStatus::Conflict, {"node-n", 3, encodeNodeRecord(previous)}});
+  EXPECT_EQ(previous_, previous);
   EXPECT_EQ(store_.replaces.size(), 1U);
 }
 
-TEST_F(NodeRecordPublisherTest, WritesTheNewestAfterALostAnswer) {
+TEST_F(NodeRecordPublisherTest, RetryAfterUnknownResultWritesNewestRecord) {
   publisher_.publish(record_);
   record_.slots = 5;
   publisher_.publish(record_);
--- a/test/router/peer_links_test.cc
+++ b/test/router/peer_links_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What becomes of requests when the node that they were sent to falls silent or goes away.
+/// Tests the outcomes of requests whose node stops responding or becomes unreachable.
 
 #include "source/router/peer_links.h"
 
@@ -22,7 +22,7 @@
                       [](const OwnerTableFrame&) {}, [] { return ServerEndsFrame{}; }, [](const ServerEndsFrame&) {}}) {
   }
 
-  void knowNodeAt(const Endpoint& endpoint) {
+  void addNodeAt(const Endpoint& endpoint) {
     NodeRecord record;
     record.node = node_;
     record.peer = endpoint;
@@ -36,7 +36,7 @@
     frame.kind = kind;
     frame.remaining_us = Duration(std::chrono::seconds(20)).count();
     std::optional<ForwardReplyFrame> reply;
-    peer_client_.forward(node_, frame, [&reply](ForwardReplyFrame told) { reply = std::move(told); });
+    peer_client_.forward(node_, frame, [&reply](ForwardReplyFrame received) { reply = std::move(received); });
     EXPECT_TRUE(loop_.runUntil([&reply] { return reply.has_value(); }, kTestCap));
     return reply.value_or(ForwardReplyFrame{});
   }
@@ -49,57 +49,56 @@
   PeerClient peer_client_;
 };
 
-// Seen: a machine without power says nothing. Requests to it waited to the end of their time, and more
-// were sent to it meanwhile.
-TEST_F(PeerClientTest, RequestAtASilentNodeIsGivenUpSoon) {
+// A node that loses power closes no connections; its requests must not wait for their deadlines.
+TEST_F(PeerClientTest, RequestToSilentNodeFinishesEarlyAndNodeIsMarkedUnreachable) {
   ScriptedServer silent(loop_, [](ScriptedConnection&) {});
-  knowNodeAt(silent.endpoint());
+  addNodeAt(silent.endpoint());
   const ForwardReplyFrame reply = forward(RouteKind::Idempotent);
   EXPECT_EQ(reply.outcome, ForwardOutcome::Unknown);
   EXPECT_EQ(reply.reason, ForwardReason::ConnectionLost);
   EXPECT_TRUE(directory_.isUnreachable(node_));
 }
 
-TEST_F(PeerClientTest, OnceOnlyRequestAtASilentNodeIsNeverCalledNotRun) {
+TEST_F(PeerClientTest, AtMostOnceRequestToSilentNodeIsNotReportedAsNotRun) {
   ScriptedServer silent(loop_, [](ScriptedConnection&) {});
-  knowNodeAt(silent.endpoint());
+  addNodeAt(silent.endpoint());
   EXPECT_EQ(forward(RouteKind::OnceOnly).outcome, ForwardOutcome::Unknown);
 }
 
-// Seen at 83 nodes, a third of them without a way to the store, the one that watched it among them: replies told ages
-// without their time on the way, hop after hop, and for 2.5 s nobody took what it knew for old.
-TEST_F(PeerClientTest, AgeOfWhatAReplyTellsCountsFromWhenItsRequestWasSent) {
-  constexpr Duration::rep kTold = 1000;
+// Without the latency of replies in the reported staleness, peers that can't reach the store would keep each other from
+// detecting that their state is stale.
+TEST_F(PeerClientTest, ReportedStalenessCountsFromSendTimeOfRequest) {
+  constexpr Duration::rep kReportedStalenessUs = 1000;
   FakePeer peer(loop_, {node_, Incarnation{7}});
   std::optional<TimePoint> answered_at;
   peer.on_forward = [&](const ForwardFrame&) {
     answered_at = clock_.now();
     ForwardReplyFrame reply;
     reply.outcome = ForwardOutcome::NotRun;
-    reply.known.config = {9, 9, kTold};
-    reply.known.nodes = {9, 9, kTold};
+    reply.known.config = {9, 9, kReportedStalenessUs};
+    reply.known.nodes = {9, 9, kReportedStalenessUs};
     return std::optional(reply);
   };
-  knowNodeAt(peer.endpoint());
+  addNodeAt(peer.endpoint());
   const TimePoint sent_at = clock_.now();
   const ForwardReplyFrame reply = forward(RouteKind::Idempotent);
   ASSERT_TRUE(answered_at.has_value());
-  EXPECT_GE(reply.known.config.staleness_us, kTold + (*answered_at - sent_at).count());
-  EXPECT_GE(reply.known.nodes.staleness_us, kTold + (*answered_at - sent_at).count());
+  EXPECT_GE(reply.known.config.staleness_us, kReportedStalenessUs + (*answered_at - sent_at).count());
+  EXPECT_GE(reply.known.nodes.staleness_us, kReportedStalenessUs + (*answered_at - sent_at).count());
 }
 
-TEST_F(PeerClientTest, RequestThatCouldNotBeSentHasNotRun) {
-  knowNodeAt(closedEndpoint(loop_));
+TEST_F(PeerClientTest, RequestWithRefusedConnectionHasNotRun) {
+  addNodeAt(closedEndpoint(loop_));
   const ForwardReplyFrame reply = forward(RouteKind::OnceOnly);
   EXPECT_EQ(reply.outcome, ForwardOutcome::NotRun);
   EXPECT_TRUE(directory_.isUnreachable(node_));
 }
 
-// Seen: a machine went for good and its address was given to a machine of another service. The process
-// there answered, so the node that was gone counted as there, and nobody took its keys over.
-TEST_F(PeerClientTest, ProcessOfAnotherNodeAtItsAddressIsNotTakenForTheNode) {
-  FakePeer stranger(loop_, {NodeName("stranger"), Incarnation{7}});
-  knowNodeAt(stranger.endpoint());
+// A removed node's address may be reused by another node; if its process were taken for the removed node, the keys
+// would never be taken over.
+TEST_F(PeerClientTest, NodeWhoseAddressIsUsedByAnotherNodeIsUnreachable) {
+  FakePeer other_node(loop_, {NodeName("stranger"), Incarnation{7}});
+  addNodeAt(other_node.endpoint());
   const ForwardReplyFrame reply = forward(RouteKind::OnceOnly);
   EXPECT_EQ(reply.outcome, ForwardOutcome::NotRun);
   EXPECT_EQ(reply.reason, ForwardReason::ServerDown);
@@ -107,12 +106,12 @@
   EXPECT_TRUE(peer_client_.connectedNodes().empty());
 }
 
-// The process that comes after the one that had the request can't know whether that one began it.
-TEST_F(PeerClientTest, RestartedNodeCantSayThatARequestToItsEarlierLifeHasNotRun) {
+// A new incarnation can't know whether the previous one started the request.
+TEST_F(PeerClientTest, RequestToEarlierIncarnationHasUnknownOutcome) {
   FakePeer peer(loop_, {node_, Incarnation{7}});
-  knowNodeAt(peer.endpoint());
+  addNodeAt(peer.endpoint());
   std::optional<ForwardReplyFrame> reply;
-  peer_client_.forward(node_, {}, [&reply](ForwardReplyFrame told) { reply = std::move(told); });
+  peer_client_.forward(node_, {}, [&reply](ForwardReplyFrame received) { reply = std::move(received); });
   ASSERT_TRUE(loop_.runUntil([&] { return peer.forwards == 1; }, kTestCap));
   peer.restartAs({node_, Incarnation{8}});
   ASSERT_TRUE(loop_.runUntil([&] { return reply.has_value(); }, kTestCap));
@@ -120,11 +119,11 @@
   EXPECT_EQ(reply->reason, ForwardReason::ConnectionLost);
 }
 
-TEST_F(PeerClientTest, SameLifeOfANodeSaysThatARequestHasNotRun) {
+TEST_F(PeerClientTest, RequestReportedAsNotStartedBySameIncarnationHasNotRun) {
   FakePeer peer(loop_, {node_, Incarnation{7}});
-  knowNodeAt(peer.endpoint());
+  addNodeAt(peer.endpoint());
   std::optional<ForwardReplyFrame> reply;
-  peer_client_.forward(node_, {}, [&reply](ForwardReplyFrame told) { reply = std::move(told); });
+  peer_client_.forward(node_, {}, [&reply](ForwardReplyFrame received) { reply = std::move(received); });
   ASSERT_TRUE(loop_.runUntil([&] { return peer.forwards == 1; }, kTestCap));
   peer.restartAs({node_, Incarnation{7}});
   ASSERT_TRUE(loop_.runUntil([&] { return reply.has_value(); }, kTestCap));
@@ -132,7 +131,7 @@
   EXPECT_EQ(peer.settles, 1U);
 }
 
-TEST_F(PeerClientTest, RequestToAnUnknownNodeHasNotRun) {
+TEST_F(PeerClientTest, RequestToUnknownNodeHasNotRun) {
   EXPECT_EQ(forward(RouteKind::OnceOnly).outcome, ForwardOutcome::NotRun);
 }
 
--- a/test/router/restored_knowledge_test.cc
+++ b/test/router/restored_knowledge_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What a process knows of the deployment while the store comes back from a copy of an earlier state.
+/// Tests the cluster state while the store is restored from a backup of an earlier state.
 
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -18,8 +18,8 @@
 constexpr const char* kConfigKind = "config";
 constexpr const char* kZoneKind = "zones";
 
-/// One object whose value is the version.
-class VersionAlone final : public ConfigProtocol {
+/// Configuration of one object whose value is the version.
+class VersionOnlyProtocol final : public ConfigProtocol {
  public:
   std::string kind() const override { return kConfigKind; }
   bool isPart(const std::string&) const override { return true; }
@@ -54,7 +54,7 @@
     return events;
   }
 
-  /// Answers all lists of the kind that are open.
+  /// Responds to all pending lists of the kind.
   void answerLists(const std::string& kind, const StoreRevision& at, const std::vector<MetadataObject>& objects) {
     std::erase_if(store_.lists, [&](const auto& call) {
       if (call.kind == kind) {
@@ -64,14 +64,14 @@
     });
   }
 
-  /// The store comes back from a copy, and that kind is listed anew.
+  /// Restores the store and waits until the kind is listed again.
   void restore(StoreEra era, const std::string& kind) {
     store_.present_era = era;
     cluster_state_.onStoreRestored();
-    const auto is_asked = [&] {
+    const auto is_requested = [&] {
       return std::any_of(store_.lists.begin(), store_.lists.end(), [&](const auto& call) { return call.kind == kind; });
     };
-    ASSERT_TRUE(loop_.runUntil(is_asked, kTestCap));
+    ASSERT_TRUE(loop_.runUntil(is_requested, kTestCap));
   }
 
   static MetadataObject configAt(const StoreRevision& revision, int version) {
@@ -96,7 +96,7 @@
   SetClock clock_;
   SystemRandom random_;
   ScriptedStore store_;
-  VersionAlone config_;
+  VersionOnlyProtocol config_;
   EventLog log_{loop_, clock_, dup(STDERR_FILENO)};
   ServerDirectory directory_{NodeName("self"), ZoneName("z"), {}, random_};
   std::vector<std::string> restored_;
@@ -106,7 +106,7 @@
                               events()};
 };
 
-TEST_F(RestoredClusterStateTest, NewestVersionStaysInForceUntilOperatorsHaveWrittenItAgain) {
+TEST_F(RestoredClusterStateTest, NewestVersionStaysActiveUntilOperatorsWriteItAgain) {
   answerLists(kConfigKind, {1, 113}, {configAt({1, 113}, 48)});
   restore(2, kConfigKind);
   answerLists(kConfigKind, {2, 90}, {configAt({2, 85}, 40)});
@@ -119,15 +119,15 @@
   EXPECT_EQ(version(), 51U);
 }
 
-TEST_F(RestoredClusterStateTest, ChangeWithALowerRevisionThanTheKnownOneIsTakenOver) {
+TEST_F(RestoredClusterStateTest, NewerVersionWithLowerRevisionIsAdopted) {
   answerLists(kConfigKind, {1, 113}, {configAt({1, 113}, 48)});
   restore(2, kConfigKind);
   answerLists(kConfigKind, {2, 98}, {configAt({2, 97}, 51)});
   EXPECT_EQ(version(), 51U);
 }
 
-// Where the versions are the store's own counts nobody writes the newest again: what the store has is what there is.
-TEST_F(RestoredClusterStateTest, VersionsThatTheStoreCountsGoBackWithIt) {
+// If the store counts the versions, operators do not write the newest one again, so the restored one is adopted.
+TEST_F(RestoredClusterStateTest, VersionCountedByStoreReturnsToBackup) {
   config_.counted_by_operators = false;
   answerLists(kConfigKind, {1, 113}, {configAt({1, 113}, 113)});
   restore(2, kConfigKind);
@@ -135,7 +135,7 @@
   EXPECT_EQ(version(), 85U);
 }
 
-TEST_F(RestoredClusterStateTest, OthersAreToldTheConfigurationInForceNotTheCopys) {
+TEST_F(RestoredClusterStateTest, SnapshotContainsActiveConfigurationInsteadOfBackups) {
   answerLists(kConfigKind, {1, 113}, {configAt({1, 113}, 48)});
   answerLists(kNodeKind, {1, 113}, {});
   answerLists(kTableKind, {1, 113}, {});
@@ -148,7 +148,7 @@
   EXPECT_EQ(state->config.front().value, "48");
 }
 
-TEST_F(RestoredClusterStateTest, TellsWhatTheCopyHoldsOfThisNodesRecord) {
+TEST_F(RestoredClusterStateTest, ReportsThisNodesRecordInBackup) {
   answerLists(kNodeKind, {1, 50}, {recordAt({1, 50}, 7, "i-new")});
   EXPECT_TRUE(restored_.empty());
   restore(2, kNodeKind);
@@ -158,7 +158,7 @@
   EXPECT_EQ(restored_, (std::vector<std::string>{"i-old", "none"}));
 }
 
-TEST_F(RestoredClusterStateTest, RecordOfAnEarlierLifeInTheCopyCountsForNothing) {
+TEST_F(RestoredClusterStateTest, RecordOfEarlierIncarnationInBackupIsIgnored) {
   answerLists(kNodeKind, {1, 50}, {recordAt({1, 50}, 9, "i-new", "other")});
   restore(2, kNodeKind);
   answerLists(kNodeKind, {2, 40}, {recordAt({2, 40}, 7, "i-old", "other")});
@@ -166,7 +166,7 @@
   EXPECT_EQ(directory_.node(NodeName("other"))->instance, InstanceId("i-new"));
 }
 
-TEST_F(RestoredClusterStateTest, ZoneStaysEvacuatedThoughTheCopyLacksTheWish) {
+TEST_F(RestoredClusterStateTest, ZoneStaysEvacuatedIfBackupLacksTheEvacuation) {
   answerLists(kZoneKind, {1, 50}, {{"east", {1, 50}, "{}"}});
   ASSERT_TRUE(cluster_state_.evacuations().contains(ZoneName("east")));
   restore(2, kZoneKind);
--- a/test/router/restored_store_test.cc
+++ b/test/router/restored_store_test.cc
@@ -1,12 +1,8 @@
 /// @file
-/// Configurations that change after the store has come back from a copy of an earlier state.
+/// End-to-end tests of configuration changes after the store is restored from a backup of an earlier state.
 ///
-/// Seen: changes that the store had acknowledged were taken over by no process for up to four seconds, though the store
-/// answered every call; requests on a route that had been taken away were still served. The store had been away for
-/// some seconds and had come back from a copy, which counted its revisions on from an earlier one. Every process took
-/// the objects that were written then for older than those it knew, as their revisions were lower, until the count had
-/// passed the old one. Proved by the revisions of the configurations adopted: 113 before and 115 after, with eighteen
-/// acknowledged writes between them.
+/// A restored store assigns lower revisions again. Processes that compare revisions without the epoch would take new
+/// configurations for older than the known one.
 
 #include <gtest/gtest.h>
 
@@ -20,8 +16,8 @@
 
 constexpr int kOk = 200;
 constexpr int kNotFound = 404;
-/// Three times what is promised.
-constexpr Duration kInForceWithin = seconds(6);
+/// Three times the time in which a change must be active everywhere.
+constexpr Duration kActiveWithin = seconds(6);
 
 class RestoredStoreTest : public ::testing::Test {
  protected:
@@ -32,38 +28,38 @@
     ASSERT_TRUE(cluster_.runUntilServing());
   }
 
-  bool allAnswer(const std::string& target, int status) { return cluster_.allAnswer(target, status, kInForceWithin); }
+  bool allAnswer(const std::string& target, int status) { return cluster_.allAnswer(target, status, kActiveWithin); }
 
-  /// Writes that take the store's revision far beyond that of the copy.
+  /// Writes enough versions to raise the store's revision far above that of the backup.
   void writeManyVersions() {
-    for (std::uint32_t version = 2; version < kLastBefore; ++version) {
+    for (std::uint32_t version = 2; version < kLastVersionBeforeRestore; ++version) {
       cluster_.writeConfig(version, {"/search/", "/orders/"});
     }
-    cluster_.writeConfig(kLastBefore, {"/search/", "/orders/", "/more/"});
+    cluster_.writeConfig(kLastVersionBeforeRestore, {"/search/", "/orders/", "/more/"});
   }
 
-  static constexpr std::uint32_t kLastBefore = 40;
+  static constexpr std::uint32_t kLastVersionBeforeRestore = 40;
   RouterCluster cluster_;
 };
 
-TEST_F(RestoredStoreTest, ChangeAfterwardsIsInForceThoughItsRevisionIsLowerThanTheKnownOne) {
+TEST_F(RestoredStoreTest, ChangeAfterRestoreIsActiveDespiteLowerRevision) {
   cluster_.copyStore();
   writeManyVersions();
   ASSERT_TRUE(allAnswer("/more/x", kOk));
   cluster_.restoreStore();
-  cluster_.writeConfig(kLastBefore, {"/search/", "/orders/", "/more/"});
-  cluster_.writeConfig(kLastBefore + 1, {"/search/", "/orders/"});
+  cluster_.writeConfig(kLastVersionBeforeRestore, {"/search/", "/orders/", "/more/"});
+  cluster_.writeConfig(kLastVersionBeforeRestore + 1, {"/search/", "/orders/"});
   EXPECT_TRUE(allAnswer("/more/x", kNotFound));
 }
 
-// The copy holds an older configuration than the one in force, until operators have written theirs again.
-TEST_F(RestoredStoreTest, ConfigurationDoesNotGoBackToThatOfTheCopy) {
+// The backup contains an older configuration than the active one until operators write theirs again.
+TEST_F(RestoredStoreTest, ConfigurationDoesNotReturnToBackup) {
   cluster_.copyStore();
   writeManyVersions();
   ASSERT_TRUE(allAnswer("/more/x", kOk));
   cluster_.restoreStore();
-  const auto over = cluster_.overAfter(seconds(3));
-  while (!*over) {
+  const auto elapsed = cluster_.overAfter(seconds(3));
+  while (!*elapsed) {
     for (const auto& node : cluster_.nodes()) {
       ASSERT_EQ(cluster_.ask(*node, "/more/x").http.status, kOk);
     }
@@ -71,25 +67,24 @@
   }
 }
 
-// It reads the copy, while the others know the newest configuration: it hears of that with their replies.
-TEST_F(RestoredStoreTest, ProcessThatStartsBeforeItIsWrittenAgainTakesTheNewestFromOthers) {
+// The started process reads the backup and learns of the newer configuration from its peers' replies.
+TEST_F(RestoredStoreTest, ProcessStartedAfterRestoreTakesNewestConfigurationFromPeers) {
   cluster_.copyStore();
   writeManyVersions();
   ASSERT_TRUE(allAnswer("/more/x", kOk));
   cluster_.restoreStore();
   RouterCluster::Node& started = *cluster_.nodes().front();
   cluster_.restartRouter(started);
-  const auto over = cluster_.overAfter(kInForceWithin);
-  while (cluster_.ask(started, "/more/x").http.status != kOk && !*over) {
+  const auto elapsed = cluster_.overAfter(kActiveWithin);
+  while (cluster_.ask(started, "/more/x").http.status != kOk && !*elapsed) {
     cluster_.ask(started, "/search/x", "20000");
     cluster_.pause(milliseconds(20));
   }
-  EXPECT_FALSE(*over);
+  EXPECT_FALSE(*elapsed);
 }
 
-// Watches that were waiting when the store went away are cut; the counter has passed the old revision by the time that
-// they are sent again.
-TEST_F(RestoredStoreTest, ChangeIsNotMissedWhoseRevisionWasGivenOutBefore) {
+// Open watches break with the store; the restored store's revision has passed the old one before they are sent again.
+TEST_F(RestoredStoreTest, ChangeWithReusedRevisionIsNotMissed) {
   cluster_.copyStore();
   writeManyVersions();
   ASSERT_TRUE(allAnswer("/more/x", kOk));
@@ -97,8 +92,8 @@
   cluster_.pause(milliseconds(300));
   cluster_.setStoreMode("up");
   cluster_.restoreStore();
-  cluster_.writeConfig(kLastBefore + 1, {"/search/", "/orders/"});
-  for (std::uint32_t version = kLastBefore + 2; version < 3 * kLastBefore; ++version) {
+  cluster_.writeConfig(kLastVersionBeforeRestore + 1, {"/search/", "/orders/"});
+  for (std::uint32_t version = kLastVersionBeforeRestore + 2; version < 3 * kLastVersionBeforeRestore; ++version) {
     cluster_.writeConfig(version, {"/search/", "/orders/"});
   }
   EXPECT_TRUE(allAnswer("/more/x", kNotFound));
--- a/test/router/router_process_test.cc
+++ b/test/router/router_process_test.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Whole paths through real routers: serving, a server that leaves, a server that dies, a router that stops.
+/// End-to-end tests of router processes over loopback: serving, draining and failed servers, slow links and stopping
+/// routers.
 
 #include <gtest/gtest.h>
 
@@ -30,7 +31,7 @@
   RouterCluster cluster_;
 };
 
-TEST_F(RouterProcessTest, ServesFromEveryNodeAndKnowsItsRoutes) {
+TEST_F(RouterProcessTest, EveryNodeServesConfiguredRoutesAndRejectsOthers) {
   start();
   const ClientAnswer answer = cluster_.ask(node(0), "/orders/x?y=1");
   EXPECT_EQ(answer.http.status, kOk);
@@ -39,7 +40,7 @@
   EXPECT_EQ(cluster_.ask(node(3), "/search/x", "12345").http.status, kOk);
 }
 
-TEST_F(RouterProcessTest, LeavingServerGetsNothingOnceItsNoticeIsAcknowledged) {
+TEST_F(RouterProcessTest, DrainingServerGetsNoRequestsAfterItsNoticeIsAcknowledged) {
   start();
   bool acknowledged = false;
   std::size_t begun = 0;
@@ -48,7 +49,7 @@
     begun = node(2).server->begun();
   });
   std::vector<std::shared_ptr<ClientAnswer>> answers;
-  // A steady load that leaves room, before the notice and across it.
+  // One request at a time, before and after the notice.
   const auto keep_busy = [&] {
     if (answers.empty() || answers.back()->ended) {
       answers.push_back(cluster_.send(node(answers.size() % 4), "/orders/x"));
@@ -58,10 +59,10 @@
     keep_busy();
     return acknowledged;
   }));
-  const std::size_t enough = answers.size() + 40;
+  const std::size_t wanted_answers = answers.size() + 40;
   ASSERT_TRUE(cluster_.runUntil([&] {
     keep_busy();
-    return answers.size() >= enough;
+    return answers.size() >= wanted_answers;
   }));
   ASSERT_TRUE(cluster_.runUntil(
       [&] { return std::all_of(answers.begin(), answers.end(), [](const auto& answer) { return answer->ended; }); }));
@@ -69,13 +70,13 @@
   EXPECT_EQ(answers.back()->http.status, kOk);
 }
 
-TEST_F(RouterProcessTest, LeavingOwnersKeysAreServedByAnother) {
+TEST_F(RouterProcessTest, KeysOfDrainingOwnerAreServedByAnotherServer) {
   start();
   bool acknowledged = false;
   node(0).server->leave([&] { acknowledged = true; });
   ASSERT_TRUE(cluster_.runUntil([&] { return acknowledged; }));
   bool moved = false;
-  for (int tries = 0; tries < 100 && !moved; ++tries) {
+  for (int attempt = 0; attempt < 100 && !moved; ++attempt) {
     const std::size_t before = node(0).server->begun();
     moved = cluster_.ask(node(2), "/search/x", "0").http.status == kOk &&
             cluster_.ask(node(2), "/search/x", "65535").http.status == kOk && node(0).server->begun() == before;
@@ -83,9 +84,9 @@
   EXPECT_TRUE(moved);
 }
 
-// A heartbeat that was held up may come after its sender has crashed and another life of the server has registered at
-// the same address; a process that has started since knows nothing of the earlier life.
-TEST_F(RouterProcessTest, LateHeartbeatOfAnUnknownEarlierLifeDoesNotReplaceThePresentOne) {
+// A delayed heartbeat may arrive after its sender has crashed and a new instance uses the same address. A router that
+// started in between does not know the earlier instance.
+TEST_F(RouterProcessTest, LateHeartbeatOfUnknownEarlierInstanceDoesNotReplaceCurrentInstance) {
   cluster_.addNode("search");
   cluster_.addNode("orders");
   ASSERT_TRUE(cluster_.runUntilServing());
@@ -102,18 +103,18 @@
   }
 }
 
-TEST_F(RouterProcessTest, DeadOwnersKeysAreServedByAnother) {
+TEST_F(RouterProcessTest, KeysOfFailedOwnerAreServedByAnotherServer) {
   start();
   node(1).server.reset();
   bool moved = false;
-  for (int tries = 0; tries < 200 && !moved; ++tries) {
+  for (int attempt = 0; attempt < 200 && !moved; ++attempt) {
     moved = cluster_.ask(node(3), "/search/x", "0").http.status == kOk &&
             cluster_.ask(node(3), "/search/x", "65535").http.status == kOk;
   }
   EXPECT_TRUE(moved);
 }
 
-/// Servers of "search" take their keys in the acknowledgements of their heartbeats.
+/// Servers of "search" receive their keys in the responses to their heartbeats.
 class HeartbeatRouterProcessTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -130,77 +131,76 @@
   RouterCluster cluster_{GrantForm::Heartbeat};
 };
 
-TEST_F(HeartbeatRouterProcessTest, LeavingOwnersKeysAreServedByAnother) {
+TEST_F(HeartbeatRouterProcessTest, KeysOfDrainingOwnerAreServedByAnotherServer) {
   bool acknowledged = false;
   node(0).server->leave([&] { acknowledged = true; });
   ASSERT_TRUE(cluster_.runUntil([&] { return acknowledged; }));
   bool moved = false;
-  for (int tries = 0; tries < 200 && !moved; ++tries) {
+  for (int attempt = 0; attempt < 200 && !moved; ++attempt) {
     const std::size_t before = node(0).server->begun();
     moved = isServed("0") && isServed("65535") && node(0).server->begun() == before;
   }
   EXPECT_TRUE(moved);
 }
 
-TEST_F(HeartbeatRouterProcessTest, DeadOwnersKeysAreServedByAnother) {
+TEST_F(HeartbeatRouterProcessTest, KeysOfFailedOwnerAreServedByAnotherServer) {
   node(1).server.reset();
   bool moved = false;
-  for (int tries = 0; tries < 200 && !moved; ++tries) {
+  for (int attempt = 0; attempt < 200 && !moved; ++attempt) {
     moved = isServed("0") && isServed("65535");
   }
   EXPECT_TRUE(moved);
 }
 
-TEST_F(RouterProcessTest, RefusalSaysWhenToComeBack) {
+TEST_F(RouterProcessTest, RejectionHasRetryAfterHeader) {
   start();
   node(2).server.reset();
   node(3).server.reset();
   ClientAnswer answer = cluster_.ask(node(0), "/orders/x");
-  for (int tries = 0; tries < 100 && answer.http.status != 503; ++tries) {
+  for (int attempt = 0; attempt < 100 && answer.http.status != 503; ++attempt) {
     answer = cluster_.ask(node(0), "/orders/x");
   }
   EXPECT_EQ(answer.http.status, 503);
   EXPECT_FALSE(headerValue(answer.http.headers, "Retry-After").empty());
 }
 
-// Seen on the grown deployment: calls of other servers waited behind answers of 90 KB on links of 10 Mbit/s until their
-// time was over.
-TEST_F(RouterProcessTest, SmallAnswersDontWaitBehindLargeOnesOnASlowLink) {
-  constexpr double kSlowLink = 1e6;
-  constexpr std::size_t kLarge = 400'000;
+// Without pacing, small responses would wait behind large ones until their deadlines have passed.
+TEST_F(RouterProcessTest, SmallResponsesDoNotWaitBehindLargeOnesOnSlowLink) {
+  constexpr double kSlowLinkBytesPerSecond = 1e6;
+  constexpr std::size_t kLargeResponseBytes = 400'000;
   cluster_.addNode("search");
   cluster_.addNode("search");
-  cluster_.addNode("orders", milliseconds(5), kSlowLink);
+  cluster_.addNode("orders", milliseconds(5), kSlowLinkBytesPerSecond);
   ASSERT_TRUE(cluster_.runUntilServing());
-  const auto large = cluster_.send(node(0), "/orders/x?bytes=" + std::to_string(kLarge));
-  const auto at_its_own_gateway = cluster_.send(node(2), "/orders/x?bytes=" + std::to_string(kLarge));
+  const auto large = cluster_.send(node(0), "/orders/x?bytes=" + std::to_string(kLargeResponseBytes));
+  const auto large_at_own_node = cluster_.send(node(2), "/orders/x?bytes=" + std::to_string(kLargeResponseBytes));
   const std::size_t before = node(2).server->begun();
   ASSERT_TRUE(cluster_.runUntil([&] { return node(2).server->begun() >= before + 2; }));
   const ClientAnswer small = cluster_.ask(node(1), "/orders/x");
   EXPECT_EQ(small.http.status, kOk);
   EXPECT_FALSE(large->ended);
-  EXPECT_FALSE(at_its_own_gateway->ended);
-  ASSERT_TRUE(cluster_.runUntil([&] { return large->ended && at_its_own_gateway->ended; }));
-  for (const auto& answer : {large, at_its_own_gateway}) {
+  EXPECT_FALSE(large_at_own_node->ended);
+  ASSERT_TRUE(cluster_.runUntil([&] { return large->ended && large_at_own_node->ended; }));
+  for (const auto& answer : {large, large_at_own_node}) {
     EXPECT_EQ(answer->http.status, kOk);
-    EXPECT_EQ(answer->http.body.size(), kLarge);
+    EXPECT_EQ(answer->http.body.size(), kLargeResponseBytes);
     EXPECT_TRUE(answer->http.body.starts_with("answer to r"));
   }
 }
 
-TEST_F(RouterProcessTest, LargeAnswerThatTheLinkCouldNotCarryInTimeIsRefusedAtOnce) {
-  constexpr double kSlowLink = 2e6;
+TEST_F(RouterProcessTest, LargeResponseThatLinkCouldNotCarryInTimeIsRejectedImmediately) {
+  constexpr double kSlowLinkBytesPerSecond = 2e6;
   cluster_.addNode("search");
-  cluster_.addNode("orders", milliseconds(5), kSlowLink);
+  cluster_.addNode("orders", milliseconds(5), kSlowLinkBytesPerSecond);
   ASSERT_TRUE(cluster_.runUntilServing());
-  // The gate learns from the first ones how large these answers are; each takes the link a tenth of a second.
+  // From these responses the gate learns their size; each occupies the link for 0.1 s.
   for (int i = 0; i < 10; ++i) {
     EXPECT_EQ(cluster_.ask(node(0), "/orders/x?bytes=200000").http.status, kOk);
   }
-  constexpr std::size_t kAtOnce = 40;
+  constexpr std::size_t kConcurrentRequests = 40;
   std::vector<std::shared_ptr<ClientAnswer>> answers;
-  answers.reserve(kAtOnce);
-  for (std::size_t i = 0; i < kAtOnce; ++i) {
+  answers.reserve(kConcurrentRequests);
+  for (std::size_t i = 0; i < kConcurrentRequests; ++i) {
     answers.push_back(cluster_.send(node(0), "/orders/x?bytes=200000"));
   }
   ASSERT_TRUE(cluster_.runUntil([&] {
@@ -214,7 +214,7 @@
   EXPECT_EQ(answers.front()->http.status, kOk);
 }
 
-TEST_F(RouterProcessTest, StopCutsNoRequest) {
+TEST_F(RouterProcessTest, StopDoesNotAbortRequestsInFlight) {
   start(milliseconds(300));
   std::vector<std::shared_ptr<ClientAnswer>> answers;
   for (int i = 0; i < 6; ++i) {
@@ -234,11 +234,8 @@
   EXPECT_EQ(cluster_.ask(node(1), "/orders/x").http.status, kOk);
 }
 
-// Seen at 59 nodes, two or three of which stopped each second: a process that could not hand its keys over in time went
-// on beginning requests for them. It ended 5.2 s after it was told to stop, 0.3 s after it had begun two of them, and
-// both clients got a 502 while the server was at work. Proved by the times: both runs were cut in the same millisecond,
-// at the limit of the stop.
-TEST_F(RouterProcessTest, StoppingOwnerBeginsNoRequestThatItsEndWouldCut) {
+// A stopping router that can't transfer its keys in time must not start requests that its exit would abort.
+TEST_F(RouterProcessTest, StoppingOwnerStartsNoRequestThatItsExitWouldAbort) {
   cluster_.setGrace(milliseconds(2400));
   cluster_.addNode("search", milliseconds(300));
   cluster_.addNode("orders");
@@ -246,21 +243,21 @@
   cluster_.setClientDeadline(milliseconds(600));
   node(0).router->stop([&] { node(0).stopped = true; });
   std::vector<std::shared_ptr<ClientAnswer>> answers;
-  constexpr std::size_t kAtOnce = 6;
+  constexpr std::size_t kConcurrentRequests = 6;
   const auto is_open = [](const auto& answer) { return !answer->ended; };
   const auto keep_asking = [&] {
-    while (std::count_if(answers.begin(), answers.end(), is_open) < static_cast<std::ptrdiff_t>(kAtOnce)) {
+    while (std::count_if(answers.begin(), answers.end(), is_open) < static_cast<std::ptrdiff_t>(kConcurrentRequests)) {
       answers.push_back(cluster_.send(node(1), "/search/x", "7"));
     }
   };
-  // Nobody else can own the keys, so the process ends at the limit of its stop.
-  std::uint32_t cut = 0;
+  // No other server can own the keys, so the process exits at the end of the grace period.
+  std::uint32_t aborted = 0;
   ASSERT_TRUE(cluster_.runUntil([&] {
     keep_asking();
-    cut = node(0).server->running();
+    aborted = node(0).server->running();
     return node(0).stopped;
   }));
-  EXPECT_EQ(cut, 0U);
+  EXPECT_EQ(aborted, 0U);
   const auto served = [](const auto& answer) { return answer->http.status == kOk; };
   EXPECT_TRUE(std::any_of(answers.begin(), answers.end(), served));
   for (const auto& answer : answers) {
--- a/test/router/router_settings_test.cc
+++ b/test/router/router_settings_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Settings of a router process.
+/// Tests of parsing the settings of a router process.
 
 #include "source/router/router_settings.h"
 
@@ -15,7 +15,7 @@
          section + "}";
 }
 
-TEST(RouterSettingsTest, QuarantineHasDefaultsAndIsChecked) {
+TEST(RouterSettingsTest, QuarantineHasDefaultsAndRejectsInvalidValues) {
   const auto defaults = parseRouterSettings(settingsWith(""));
   ASSERT_TRUE(defaults);
   EXPECT_EQ(defaults->quarantine.ends, QuarantineConfig{}.ends);
--- a/test/router/silent_store_test.cc
+++ b/test/router/silent_store_test.cc
@@ -1,11 +1,8 @@
 /// @file
-/// Configurations that change after the store was silent for a while.
+/// End-to-end test of a configuration change after the store was unresponsive.
 ///
-/// Seen: for nine seconds all processes went on with an old configuration, while the store answered every call. Two
-/// changes close together had made them wait 0.8 s before their next watch. In that time the store went silent: it took
-/// the watches and never answered them, and kept their connections open. Each process waited for its watch to its end
-/// of 30 s, and as all did, none could tell another of the newer version. Proved by a calm day on which the store goes
-/// silent just then: with watches that were open before, all goes well.
+/// Guards against watches that all processes sent while the store was unresponsive: such a watch gets no response, its
+/// connection stays open, and no peer can report the newer version.
 
 #include <gtest/gtest.h>
 
@@ -32,17 +29,17 @@
   RouterCluster cluster_;
 };
 
-TEST_F(SilentStoreTest, ChangeAfterwardsIsInForceThoughWatchesWereNeverAnswered) {
+TEST_F(SilentStoreTest, ChangeAfterSilenceIsActiveThoughWatchesGotNoResponse) {
   cluster_.writeConfig(2, {"/search/", "/orders/", "/more/"});
   ASSERT_TRUE(cluster_.allAnswer("/more/x", kOk, seconds(5)));
   cluster_.writeConfig(3, {"/search/", "/orders/"});
   ASSERT_TRUE(cluster_.allAnswer("/more/x", kNotFound, seconds(5)));
   cluster_.setStoreMode("silent");
-  // All have sent their next watch by then.
+  // Long enough for all processes to send their next watch after the burst pause.
   cluster_.pause(seconds(1));
   cluster_.setStoreMode("up");
   cluster_.writeConfig(4, {"/search/", "/orders/", "/more/"});
-  // Three times what is promised; an unanswered watch ended after 30 s.
+  // Three times the time in which a change must be active; far less than the timeout of an unanswered watch.
   EXPECT_TRUE(cluster_.allAnswer("/more/x", kOk, seconds(6)));
 }
 
--- a/test/router/store_caller_test.cc
+++ b/test/router/store_caller_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Calls to a store that refuses this node go through a peer, as long as peers are served.
+/// Tests which store calls are retried through a peer.
 
 #include "source/router/store_caller.h"
 
@@ -14,7 +14,7 @@
 namespace {
 
 constexpr int kUnavailable = 503;
-constexpr int kTooMany = 429;
+constexpr int kTooManyRequests = 429;
 
 class StoreClientTest : public ::testing::Test {
  protected:
@@ -30,7 +30,7 @@
   int call(StoreConnection connection = StoreConnection::Kept) {
     std::optional<std::optional<HttpResponse>> answer;
     client_.call({{"GET", "/objects/k", {}, {}}, std::chrono::seconds(4), connection},
-                 [&answer](std::optional<HttpResponse> told) { answer = std::move(told); });
+                 [&answer](std::optional<HttpResponse> received) { answer = std::move(received); });
     EXPECT_TRUE(loop_.runUntil([&answer] { return answer.has_value(); }, kTestCap));
     return answer && *answer ? (*answer)->status : 0;
   }
@@ -61,16 +61,16 @@
   StoreClient client_{loop_, clock_, store_.endpoint(), peer_client_, log_, metrics_};
 };
 
-// Seen: the store refused some nodes for 9 s and served the others; their leases and tables stood still.
-TEST_F(StoreClientTest, RefusedCallGoesThroughAPeer) {
+// The store may refuse some nodes and serve others; refused nodes must still be able to renew leases and update tables.
+TEST_F(StoreClientTest, RefusedCallGoesThroughPeer) {
   EXPECT_EQ(call(), 200);
   EXPECT_EQ(peer_.store_calls, 1U);
-  // Calls go to the peer at once for a while: refused ones cost as much as others.
+  // Later calls go to the peer without a direct attempt, since a refused call costs as much as a served one.
   EXPECT_EQ(call(), 200);
   EXPECT_EQ(store_calls_, 1U);
 }
 
-TEST_F(StoreClientTest, NoPeerIsTriedAgainWhileTheStoreRefusesThemToo) {
+TEST_F(StoreClientTest, RefusedCallIsNotRetriedThroughPeerWhileStoreRefusesPeers) {
   peer_.store_status = kUnavailable;
   EXPECT_EQ(call(), kUnavailable);
   EXPECT_EQ(call(), kUnavailable);
@@ -78,8 +78,8 @@
   EXPECT_EQ(store_calls_, 2U);
 }
 
-// A kept connection may have gone silent without a sign: a check that went over it would learn nothing.
-TEST_F(StoreClientTest, ChecksGoOverNewConnections) {
+// A kept connection may be lost silently, so a check over it would get no response.
+TEST_F(StoreClientTest, ChecksUseNewConnections) {
   store_status_ = 200;
   EXPECT_EQ(call(), 200);
   EXPECT_EQ(call(), 200);
@@ -90,15 +90,15 @@
   EXPECT_EQ(store_.accepted(), kept + 2);
 }
 
-TEST_F(StoreClientTest, RefusedCheckIsNotPassedToAPeer) {
+TEST_F(StoreClientTest, RefusedCheckIsNotRetriedThroughPeer) {
   EXPECT_EQ(call(StoreConnection::Fresh), kUnavailable);
   EXPECT_EQ(peer_.store_calls, 0U);
 }
 
-// The limit on calls holds for all nodes together: a peer's call would count as well.
-TEST_F(StoreClientTest, CallBeyondTheStoresRateIsNotPassedToAPeer) {
-  store_status_ = kTooMany;
-  EXPECT_EQ(call(), kTooMany);
+// The store's rate limit covers all nodes together, so a peer's call would be rejected as well.
+TEST_F(StoreClientTest, RateLimitedCallIsNotRetriedThroughPeer) {
+  store_status_ = kTooManyRequests;
+  EXPECT_EQ(call(), kTooManyRequests);
   EXPECT_EQ(peer_.store_calls, 0U);
 }
 
