--- a/source/router/cluster_knowledge.cc
+++ b/source/router/cluster_knowledge.cc
@@ -423,35 +423,35 @@
   if (!complete()) {
     return std::nullopt;
   }
-  StateFrame state;
-  state.config = config_.copies();
+  StateFrame snapshot;
+  snapshot.config = config_.copies();
   for (const auto& [name, object] : stored_objects_) {
-    state.shared.push_back({object.name, object.revision, object.value});
+    snapshot.shared.push_back({object.name, object.revision, object.value});
   }
-  state.evacuations = evacuations_.copies();
+  snapshot.evacuations = evacuations_.copies();
   const auto lease = lease_ends_.find(node);
   const TimePoint now = ports_.clock->now();
   if (lease != lease_ends_.end() && lease->second - now > kLeaseClockMargin) {
-    state.lease_left_us = (lease->second - now - kLeaseClockMargin).count();
+    snapshot.lease_left_us = (lease->second - now - kLeaseClockMargin).count();
   }
   ports_.log->write("membership", "snapshot-sent",
-                    {{"node", node.value}, {"objects", std::to_string(state.shared.size())}});
-  return state;
+                    {{"node", node.value}, {"objects", std::to_string(snapshot.shared.size())}});
+  return snapshot;
 }
 
-void ClusterState::applySnapshot(const StateFrame& state) {
+void ClusterState::applySnapshot(const StateFrame& snapshot) {
   ports_.log->write("membership", "snapshot-received",
-                    {{"config_parts", std::to_string(state.config.size())},
-                     {"objects", std::to_string(state.shared.size())},
-                     {"lease_left_us", std::to_string(state.lease_left_us)}});
-  for (const ObjectCopy& copy : state.shared) {
+                    {{"config_parts", std::to_string(snapshot.config.size())},
+                     {"objects", std::to_string(snapshot.shared.size())},
+                     {"lease_left_us", std::to_string(snapshot.lease_left_us)}});
+  for (const ObjectCopy& copy : snapshot.shared) {
     events_.on_epoch_observed(copy.revision.era);
     onStoredObject({copy.name, copy.revision, copy.value}, false);
   }
-  config_.onTold(state.config);
+  config_.onTold(snapshot.config);
   nodes_listed_ = true;
   if (!evacuationsKnown()) {
-    evacuations_.take(state.evacuations);
+    evacuations_.take(snapshot.evacuations);
     onEvacuationsChanged();
   }
   onListed(tables_listed_);
--- a/source/router/cluster_knowledge.h
+++ b/source/router/cluster_knowledge.h
@@ -57,7 +57,7 @@
   std::function<void()> on_owners_changed;
   /// The owner table of this node's service was received.
   std::function<void(const MetadataObject&)> on_own_table;
-  /// Nodes, owner tables and evacuations were listed, with all three known; runs again after each further list.
+  /// Nodes, owner tables and evacuations are known; called again after each further list of them and each snapshot.
   std::function<void()> on_synced;
   /// Requests the configuration from a node whose active version is above `known`, the version of this process.
   std::function<void(const NodeName&, ConfigVersion known)> request_config = [](const NodeName&, ConfigVersion) {};
@@ -132,7 +132,7 @@
   /// @return snapshot for a node's process that has just started; none while this view is incomplete.
   std::optional<StateFrame> snapshotFor(const NodeName& node) const;
   /// Adopts what a peer's snapshot contains.
-  void applySnapshot(const StateFrame& state);
+  void applySnapshot(const StateFrame& snapshot);
 
  private:
   KindPoller::Events pollerEvents();
@@ -153,7 +153,7 @@
   const TableWriter* tableOf(const ServiceName& service) const;
   /// @return whether a keyed service with ready servers has no known owner table.
   bool hasMissingTables() const;
-  /// @return whether some service has owners of which none is reachable, so that no reply can name the next owners.
+  /// @return whether all key owners of some service are unreachable, so that no reply can name the next owners.
   bool hasServiceWithoutReachableOwners() const;
   /// @return why the owner tables have to be listed, if at all.
   ListNeed tableNeed() const;
--- a/source/router/peer_server.cc
+++ b/source/router/peer_server.cc
@@ -151,8 +151,8 @@
     }
   } else if (const auto* table = std::get_if<OwnerTableFrame>(&frame)) {
     ports_.on_owner_table(*table);
-  } else if (const auto* state = std::get_if<StateFrame>(&frame)) {
-    ports_.on_state(*state);
+  } else if (const auto* snapshot = std::get_if<StateFrame>(&frame)) {
+    ports_.on_snapshot(*snapshot);
   } else if (const auto* crashes = std::get_if<ServerEndsFrame>(&frame)) {
     ports_.on_server_ends(*crashes);
   } else if (auto* call = std::get_if<StoreCallFrame>(&frame)) {
--- a/source/router/peer_server.h
+++ b/source/router/peer_server.h
@@ -38,7 +38,7 @@
     /// @return whether to request a snapshot from the peer that has just connected.
     std::function<bool()> needs_state;
     /// A peer has sent its snapshot.
-    std::function<void(const StateFrame&)> on_state;
+    std::function<void(const StateFrame&)> on_snapshot;
     /// @return the server crashes to be reported to a peer that has just connected.
     std::function<ServerEndsFrame()> server_ends;
     /// A peer has reported server crashes.
--- a/source/router/router_process.cc
+++ b/source/router/router_process.cc
@@ -121,7 +121,7 @@
   peer_ports.config_newer_than = [this](ConfigVersion known) { return cluster_state_.configNewerThan(known); };
   peer_ports.on_owner_table = [this](const OwnerTableFrame& frame) { cluster_state_.onOwnerTable(frame.table); };
   peer_ports.needs_state = [this] { return shouldRequestSnapshot(); };
-  peer_ports.on_state = [this](const StateFrame& state) { onState(state); };
+  peer_ports.on_snapshot = [this](const StateFrame& snapshot) { onSnapshot(snapshot); };
   peer_ports.server_ends = [this] { return quarantine_.summary(); };
   peer_ports.on_server_ends = [this](const ServerEndsFrame& crashes) { quarantine_.onTold(crashes); };
   BOOST_LEAF_AUTO(peers, PeerServer::listen(loop_, settings_.peers_listen, std::move(peer_ports)));
@@ -263,13 +263,13 @@
   return true;
 }
 
-void RouterProcess::onState(const StateFrame& state) {
+void RouterProcess::onSnapshot(const StateFrame& snapshot) {
   if (ready() || stopping_) {
     return;
   }
-  cluster_state_.applySnapshot(state);
+  cluster_state_.applySnapshot(snapshot);
   if (ownership_manager_) {
-    ownership_manager_->inheritLease(clock_.now() + Duration(state.lease_left_us));
+    ownership_manager_->inheritLease(clock_.now() + Duration(snapshot.lease_left_us));
   }
   scheduleTick();
 }
--- a/source/router/router_process.h
+++ b/source/router/router_process.h
@@ -84,7 +84,7 @@
   KnownRevisions knownRevisions() const;
   /// @return whether to request a snapshot from the peer that has just connected.
   bool shouldRequestSnapshot();
-  void onState(const StateFrame& state);
+  void onSnapshot(const StateFrame& snapshot);
 
   NodeStatus status() const;
   RouterLevels levels() const;
--- a/source/router/router_process_wiring.cc
+++ b/source/router/router_process_wiring.cc
@@ -40,8 +40,8 @@
     cluster_state_.onPeerReachabilityChanged();
   };
   events.on_snapshot_requested = [this](const NodeName& node) {
-    if (const auto state = cluster_state_.snapshotFor(node)) {
-      peer_client_.send(node, *state);
+    if (const auto snapshot = cluster_state_.snapshotFor(node)) {
+      peer_client_.send(node, *snapshot);
     }
   };
   events.on_lease = [this](const NodeName& node, const HeardLease& lease) {
--- a/test/router/restored_knowledge_test.cc
+++ b/test/router/restored_knowledge_test.cc
@@ -142,10 +142,10 @@
   answerLists(kZoneKind, {1, 113}, {});
   restore(2, kConfigKind);
   answerLists(kConfigKind, {2, 90}, {configAt({2, 85}, 40)});
-  const auto state = cluster_state_.snapshotFor(NodeName("other"));
-  ASSERT_TRUE(state);
-  ASSERT_EQ(state->config.size(), 1U);
-  EXPECT_EQ(state->config.front().value, "48");
+  const auto snapshot = cluster_state_.snapshotFor(NodeName("other"));
+  ASSERT_TRUE(snapshot);
+  ASSERT_EQ(snapshot->config.size(), 1U);
+  EXPECT_EQ(snapshot->config.front().value, "48");
 }
 
 TEST_F(RestoredClusterStateTest, ReportsThisNodesRecordInBackup) {
