--- a/source/router/router_process_wiring.cc
+++ b/source/router/router_process_wiring.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What the parts of a router process are given to reach each other by.
+/// Callbacks and dependencies that connect the components of a router process.
 
 #include "source/router/router_process.h"
 
@@ -10,9 +10,9 @@
   ports.clock = &clock_;
   ports.log = &log_;
   ports.metrics = &metrics_;
-  ports.broadcast = [this](const ServerCrashesFrame& news) {
-    peer_client_.broadcastServerCrashes(news);
-    peer_server_->broadcastServerCrashes(news);
+  ports.broadcast = [this](const ServerCrashesFrame& crashes) {
+    peer_client_.broadcastServerCrashes(crashes);
+    peer_server_->broadcastServerCrashes(crashes);
   };
   ports.on_change = [this] {
     post([this] { gate_.onQuarantineChanged(); });
@@ -40,8 +40,8 @@
     cluster_state_.onPeerReachabilityChanged();
   };
   events.on_snapshot_requested = [this](const NodeName& node) {
-    if (const auto state = cluster_state_.snapshotFor(node)) {
-      peer_client_.send(node, *state);
+    if (const auto snapshot = cluster_state_.snapshotFor(node)) {
+      peer_client_.send(node, *snapshot);
     }
   };
   events.on_lease = [this](const NodeName& node, const PeerLease& lease) {
@@ -51,9 +51,9 @@
     }
   };
   events.on_owner_table = [this](const OwnerTableFrame& frame) { cluster_state_.onOwnerTable(frame.table); };
-  events.on_config = [this](const ConfigFrame& told) { cluster_state_.onPeerConfig(told); };
+  events.on_config = [this](const ConfigFrame& config) { cluster_state_.onPeerConfig(config); };
   events.server_ends = [this] { return quarantine_.summary(); };
-  events.on_server_ends = [this](const ServerCrashesFrame& told) { quarantine_.onCrashesFrame(told); };
+  events.on_server_ends = [this](const ServerCrashesFrame& crashes) { quarantine_.onCrashesFrame(crashes); };
   return events;
 }
 
