--- a/test/platform_adapter/protocols_test.cc
+++ b/test/platform_adapter/protocols_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The platform's headers and bodies.
+/// Tests of the platform adapters: headers, paths and bodies of its protocols, and its store.
 
 #include <gtest/gtest.h>
 
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(DurationTextTest, ReadsNumbersWithTheirUnit) {
+TEST(DurationTextTest, ParsesNumbersWithUnit) {
   EXPECT_EQ(parseDuration("1500ms"), milliseconds(1500));
   EXPECT_EQ(parseDuration("2.5s"), milliseconds(2500));
   EXPECT_EQ(parseDuration("0ms"), milliseconds(0));
@@ -30,7 +30,7 @@
   EXPECT_EQ(durationText(std::chrono::microseconds(1999)), "1ms");
 }
 
-TEST(ClientProtocolTest, ReadsWhatAClientSays) {
+TEST(ClientProtocolTest, ReadsIdDeadlineAndKey) {
   const ClientProtocolImpl protocol;
   const HttpRequest request{
       "GET", "/", {{"x-request-id", "r1"}, {"X-Request-Deadline", "2000"}, {"X-Shard-Key", "65535"}}, {}};
@@ -39,10 +39,10 @@
   EXPECT_EQ(info.refusal, Reason::None);
   EXPECT_EQ(info.time_left, milliseconds(2000));
   EXPECT_EQ(info.key, 65535);
-  const ClientRequestInfo bad =
+  const ClientRequestInfo invalid =
       protocol.read({"GET", "/", {{"X-Request-Deadline", "soon"}, {"X-Shard-Key", "65536"}}, {}}, {}, nullptr);
-  EXPECT_FALSE(bad.time_left);
-  EXPECT_FALSE(bad.key);
+  EXPECT_FALSE(invalid.time_left);
+  EXPECT_FALSE(invalid.key);
 }
 
 struct RefusalRow {
@@ -52,7 +52,7 @@
   const char* retry_after;
 };
 
-TEST(ClientProtocolTest, OnlyWhatHasNotRunIsTheStatusThatPromisesIt) {
+TEST(ClientProtocolTest, RefusalStatusIs503OnlyIfRequestWasNotRun) {
   const std::vector<RefusalRow> rows = {{Outcome::NotRun, Reason::Overloaded, 503, "0.250"},
                                         {Outcome::NotRun, Reason::ConnectionLost, 503, "0.250"},
                                         {Outcome::NotRun, Reason::DeadlineExceeded, 503, "0.250"},
@@ -68,7 +68,7 @@
   }
 }
 
-TEST(ServerProtocolTest, SetsTheRoutersHeadersWhateverWasSent) {
+TEST(ServerProtocolTest, ReplacesForgedRouterHeaders) {
   const ServerProtocolImpl protocol;
   HttpRequest request{"GET",
                       "/",
@@ -97,21 +97,21 @@
   AnswerKind kind;
 };
 
-TEST(ServerProtocolTest, TakesAnAnswerForWhatItIs) {
+TEST(ServerProtocolTest, ClassifiesResponses) {
   const HttpHeader id{"X-Request-Id", "r1"};
   const HttpHeader seal{"X-Response-Seal", "s"};
   const HttpHeader not_run{"X-Not-Executed", "1"};
   const std::vector<AnswerRow> rows = {
       {"success", {200, {id, seal}, "b"}, false, AnswerKind::Answer},
-      {"failure of its own", {500, {id, seal}, {}}, false, AnswerKind::Answer},
+      {"failure reported by the server", {500, {id, seal}, {}}, false, AnswerKind::Answer},
       {"success without seal", {200, {id}, "b"}, false, AnswerKind::Broken},
       {"success without id", {200, {seal}, "b"}, false, AnswerKind::Broken},
-      {"another's answer", {200, {{"X-Request-Id", "r2"}, seal}, "b"}, false, AnswerKind::Broken},
-      {"another's failure", {500, {{"X-Request-Id", "r2"}}, {}}, false, AnswerKind::Broken},
+      {"response to another request", {200, {{"X-Request-Id", "r2"}, seal}, "b"}, false, AnswerKind::Broken},
+      {"failure of another request", {500, {{"X-Request-Id", "r2"}}, {}}, false, AnswerKind::Broken},
       {"encoded", {200, {id, seal, {"Content-Encoding", "gzip"}}, "b"}, false, AnswerKind::Broken},
-      {"full", {503, {id, not_run}, {}}, false, AnswerKind::NotRun},
+      {"not executed", {503, {id, not_run}, {}}, false, AnswerKind::NotRun},
       {"503 that may have run", {503, {id}, {}}, false, AnswerKind::Answer},
-      {"another life", {421, {id, {"X-Instance-Id", "i-2"}}, {}}, true, AnswerKind::WrongInstance},
+      {"another instance", {421, {id, {"X-Instance-Id", "i-2"}}, {}}, true, AnswerKind::WrongInstance},
       {"key not held", {421, {id, not_run, {"X-Instance-Id", "i-1"}}, {}}, true, AnswerKind::KeyNotHeld},
       {"421 without a key", {421, {id, {"X-Instance-Id", "i-1"}}, {}}, false, AnswerKind::WrongInstance}};
   const ServerProtocolImpl protocol;
@@ -120,7 +120,7 @@
   }
 }
 
-TEST(ServerProtocolTest, WritesOrders) {
+TEST(ServerProtocolTest, EncodesCommandsAndDecodesTheirResponses) {
   const ServerProtocolImpl protocol;
   const HttpRequest grant = protocol.grantRequest({4096, 8191, 12, milliseconds(4000), "paper"});
   EXPECT_EQ(grant.method + " " + grant.target, "POST /grant");
@@ -137,40 +137,40 @@
 
 HttpRequest report(const std::string& path, const std::string& body) { return {"POST", path, {}, body}; }
 
-TEST(ReportProtocolTest, ReadsReports) {
+TEST(ReportProtocolTest, ParsesHeartbeatsAndDeregistrations) {
   const ReportProtocolImpl protocol;
-  const auto beat = protocol.readReport(
+  const auto heartbeat = protocol.readReport(
       report("/instances/i-7/heartbeat", R"({"service":"s","address":"10.0.0.1:80","zone":"z","version":"v1",
               "slots":18,"state":"draining","coldRemaining":"0ms","callSeq":4,"new":1})"));
-  ASSERT_TRUE(beat);
-  EXPECT_EQ(beat->instance.value, "i-7");
-  EXPECT_EQ(beat->address, (Endpoint{"10.0.0.1", 80}));
-  EXPECT_EQ(beat->slots, 18U);
-  EXPECT_TRUE(beat->draining);
-  EXPECT_EQ(beat->sequence, 4U);
-  EXPECT_FALSE(beat->leaves);
-  const auto leave = protocol.readReport(report("/instances/i-7/deregister", ""));
-  ASSERT_TRUE(leave);
-  EXPECT_TRUE(leave->leaves);
-  for (const HttpRequest& bad :
+  ASSERT_TRUE(heartbeat);
+  EXPECT_EQ(heartbeat->instance.value, "i-7");
+  EXPECT_EQ(heartbeat->address, (Endpoint{"10.0.0.1", 80}));
+  EXPECT_EQ(heartbeat->slots, 18U);
+  EXPECT_TRUE(heartbeat->draining);
+  EXPECT_EQ(heartbeat->sequence, 4U);
+  EXPECT_FALSE(heartbeat->leaves);
+  const auto deregistration = protocol.readReport(report("/instances/i-7/deregister", ""));
+  ASSERT_TRUE(deregistration);
+  EXPECT_TRUE(deregistration->leaves);
+  for (const HttpRequest& invalid :
        {report("/instances//heartbeat", "{}"), report("/instances/i/heartbeat", "x"), report("/instances/i/x", "{}"),
         report("/instances/i/j/heartbeat", R"({"service":"s","address":"10.0.0.1:80","slots":1})"),
         report("/instances/i/heartbeat", R"({"service":"s","address":"nowhere","slots":1})"),
         HttpRequest{"GET", "/instances/i/deregister", {}, {}}}) {
-    EXPECT_FALSE(protocol.readReport(bad)) << bad.target;
+    EXPECT_FALSE(protocol.readReport(invalid)) << invalid.target;
   }
 }
 
-TEST(ReportProtocolTest, LifeOfAServerIsItsIdAndItsStart) {
+TEST(ReportProtocolTest, InstanceIsIdentifiedByServerIdAndStartTime) {
   const ReportProtocolImpl protocol;
   const std::string rest = R"("service":"s","address":"10.0.0.1:80","slots":18,"state":"ready","callSeq":4})";
-  const auto beat = protocol.readReport(report("/instances/i-7/heartbeat", R"({"born":1778512004964,)" + rest));
-  ASSERT_TRUE(beat);
-  EXPECT_EQ(beat->start, 1778512004964U);
-  EXPECT_EQ(beat->instance, lifeOf(ServerId("i-7"), 1778512004964U));
-  const auto leave = protocol.readReport(report("/instances/i-7/deregister", R"({"born":1778512004964})"));
-  ASSERT_TRUE(leave);
-  EXPECT_EQ(leave->instance, beat->instance);
+  const auto heartbeat = protocol.readReport(report("/instances/i-7/heartbeat", R"({"born":1778512004964,)" + rest));
+  ASSERT_TRUE(heartbeat);
+  EXPECT_EQ(heartbeat->start, 1778512004964U);
+  EXPECT_EQ(heartbeat->instance, lifeOf(ServerId("i-7"), 1778512004964U));
+  const auto deregistration = protocol.readReport(report("/instances/i-7/deregister", R"({"born":1778512004964})"));
+  ASSERT_TRUE(deregistration);
+  EXPECT_EQ(deregistration->instance, heartbeat->instance);
   for (const char* start : {R"("17")", "1.5", "-3", "null", "[]"}) {
     EXPECT_FALSE(
         protocol.readReport(report("/instances/i-7/heartbeat", R"({"born":)" + std::string(start) + "," + rest)))
@@ -178,34 +178,35 @@
   }
 }
 
-// Servers know their id alone: only that goes to them, and comes back.
-TEST(ServerProtocolTest, ServersAreToldTheirIdWithoutTheirStart) {
+// A server knows only its id, so the start time in an instance id must not be sent to it or expected from it.
+TEST(ServerProtocolTest, RequestsAndResponsesUseServerIdWithoutStartTime) {
   const ServerProtocolImpl protocol;
-  const InstanceId life = lifeOf(ServerId("i-1"), 1778512004964U);
+  const InstanceId instance = lifeOf(ServerId("i-1"), 1778512004964U);
   HttpRequest request;
-  protocol.dress(request, {RequestId("r1"), life, seconds(1), ServiceName("c"), std::nullopt});
+  protocol.dress(request, {RequestId("r1"), instance, seconds(1), ServiceName("c"), std::nullopt});
   EXPECT_EQ(headerValue(request.headers, "X-Expect-Instance"), "i-1");
   const HttpResponse not_held{421, {{"X-Request-Id", "r1"}, {"X-Not-Executed", "1"}, {"X-Instance-Id", "i-1"}}, {}};
-  EXPECT_EQ(protocol.classify(not_held, RequestId("r1"), life, true), AnswerKind::KeyNotHeld);
-  EXPECT_EQ(protocol.serverOf({200, {{"X-Instance-Id", "i-1"}}, {}}), serverOf(life));
+  EXPECT_EQ(protocol.classify(not_held, RequestId("r1"), instance, true), AnswerKind::KeyNotHeld);
+  EXPECT_EQ(protocol.serverOf({200, {{"X-Instance-Id", "i-1"}}, {}}), serverOf(instance));
 }
 
-TEST(ReportProtocolTest, ReadsKeysOfAHeartbeat) {
+TEST(ReportProtocolTest, ParsesKeysOfHeartbeat) {
   const ReportProtocolImpl protocol;
   const auto plain = protocol.readReport(report(
       "/instances/i-7/heartbeat", R"({"service":"s","address":"10.0.0.1:80","slots":1,"state":"ready","callSeq":4})"));
   ASSERT_TRUE(plain);
   EXPECT_FALSE(plain->keys);
-  const auto beat = protocol.readReport(report("/instances/i-7/heartbeat", R"({"service":"s","address":"10.0.0.1:80",
+  const auto heartbeat =
+      protocol.readReport(report("/instances/i-7/heartbeat", R"({"service":"s","address":"10.0.0.1:80",
       "slots":1,"state":"ready","callSeq":4,"holds":[[0,4095,7]],"released":[[4096,8191,"5c0e"]]})"));
-  ASSERT_TRUE(beat && beat->keys);
-  EXPECT_EQ(beat->keys->held, (std::vector<ReportedRange>{{0, 4095, 7}}));
-  ASSERT_EQ(beat->keys->released.size(), 1U);
-  EXPECT_EQ(beat->keys->released.front().handover, "5c0e");
+  ASSERT_TRUE(heartbeat && heartbeat->keys);
+  EXPECT_EQ(heartbeat->keys->held, (std::vector<ReportedRange>{{0, 4095, 7}}));
+  ASSERT_EQ(heartbeat->keys->released.size(), 1U);
+  EXPECT_EQ(heartbeat->keys->released.front().handover, "5c0e");
 }
 
-// A row that is left out would say that the server has let go of its keys, while it serves them on.
-TEST(ReportProtocolTest, HeartbeatWithAnUnreadableRowOfKeysCountsAsAWholeForNothing) {
+// If a malformed row were skipped, its keys would count as released while the server still serves them.
+TEST(ReportProtocolTest, HeartbeatWithMalformedKeyRowIsRejected) {
   const ReportProtocolImpl protocol;
   const std::string start = R"({"service":"s","address":"10.0.0.1:80","slots":1,"state":"ready","callSeq":4,)";
   for (const char* row : {"[9,3,1]", "[70000,70001,2]", "[1,2]", R"([1,2,"x"])", R"("y")", "7", "null", "[1,2,-3]"}) {
@@ -218,37 +219,37 @@
   }
 }
 
-TEST(ReportProtocolTest, HeartbeatOfAnotherWriterNamesNoServer) {
+TEST(ReportProtocolTest, HeartbeatWithMissingOrInvalidFieldIsRejected) {
   const ReportProtocolImpl protocol;
-  const json good = {{"service", "s"}, {"address", "10.0.0.1:80"}, {"slots", 18}, {"state", "ready"}, {"callSeq", 4},
-                     {"born", 5}};
+  const json valid = {{"service", "s"}, {"address", "10.0.0.1:80"}, {"slots", 18}, {"state", "ready"}, {"callSeq", 4},
+                      {"born", 5}};
   const auto reads = [&protocol](const json& body) {
     return protocol.readReport(report("/instances/i-7/heartbeat", body.dump())).has_value();
   };
-  ASSERT_TRUE(reads(good));
+  ASSERT_TRUE(reads(valid));
   for (const char* field : {"service", "address", "slots", "state"}) {
-    json lacking = good;
-    lacking.erase(field);
-    EXPECT_FALSE(reads(lacking)) << field;
+    json incomplete = valid;
+    incomplete.erase(field);
+    EXPECT_FALSE(reads(incomplete)) << field;
   }
   const json wrong[] = {nullptr, -1, 0.5, 1e18, true, "x", json::array(), json::object(), 1'000'000'000'000};
   for (const char* field : {"service", "address", "slots", "state"}) {
     for (const json& value : wrong) {
-      json other = good;
+      json other = valid;
       other[field] = value;
       EXPECT_TRUE(!reads(other) || (std::string(field) == "service" && value == "x")) << other;
     }
   }
-  json unnumbered = good;
-  unnumbered["callSeq"] = "4";
-  EXPECT_FALSE(reads(unnumbered));
+  json invalid_sequence = valid;
+  invalid_sequence["callSeq"] = "4";
+  EXPECT_FALSE(reads(invalid_sequence));
   const std::string deep = std::string(10'000, '[') + std::string(10'000, ']');
   EXPECT_FALSE(protocol.readReport(report("/instances/i-7/heartbeat", deep)));
   EXPECT_FALSE(protocol.readReport(report("/instances/i-7/heartbeat", R"({"service":)" + deep + "}")));
   EXPECT_FALSE(protocol.readReport(report("/instances/i-7/heartbeat", "{\"service\":\"\xff\xfe\"}")));
 }
 
-TEST(ReportProtocolTest, TellsKeysInTheAcknowledgement) {
+TEST(ReportProtocolTest, AcknowledgementContainsAssignedKeys) {
   const ReportProtocolImpl protocol;
   EXPECT_EQ(protocol.acknowledgement(nullptr).body, "{}");
   KeyAssignment keys;
@@ -256,7 +257,7 @@
   keys.ranges = {{0, 4095, 7, ""}, {9000, 9999, 12, "7a21"}};
   EXPECT_EQ(protocol.acknowledgement(&keys).body,
             R"({"hold_time":"4000ms","holds":[[0,4095,7,""],[9000,9999,12,"7a21"]]})");
-  // As many ranges as are told at once, each as long as it can be.
+  // The maximum number of ranges in one response, each with its longest encoding.
   keys.ranges.assign(94, {65535, 65535, 9'999'999, "0123456789abcdef"});
   EXPECT_LE(protocol.acknowledgement(&keys).body.size(), 4096U);
 }
@@ -277,7 +278,7 @@
   return leaf::try_handle_all([&] { return protocol.decode(partsOf(text)); }, [] { return RouterConfig(); });
 }
 
-TEST(ConfigProtocolTest, ReadsAConfiguration) {
+TEST(ConfigProtocolTest, DecodesConfiguration) {
   const RouterConfig config = decodedOrEmpty(kConfig);
   EXPECT_EQ(config.version, 12U);
   ASSERT_EQ(config.routes.size(), 2U);
@@ -292,7 +293,7 @@
   EXPECT_EQ(config.limits.idle_timeout, std::chrono::seconds(15));
 }
 
-TEST(ConfigProtocolTest, TellsAllThatIsWrongWithItsPlace) {
+TEST(ConfigProtocolTest, ReportsAllFindingsWithLocation) {
   json document = json::parse(kConfig);
   document["version"] = "zz";
   document["routes"][0]["kind"] = "sometimes";
@@ -316,7 +317,7 @@
   EXPECT_EQ(places, (std::vector<std::string>{"version", "routes/0/kind", "routes/0/timeout", "routes/1/host"}));
 }
 
-/// Answers each call with the next line of a script.
+/// Each call receives the next of the prepared responses.
 class PlatformStoreTest : public ::testing::Test {
  protected:
   PlatformStoreTest()
@@ -332,7 +333,7 @@
     requests_.clear();
     answers_ = {std::move(answer)};
     StoreStatus status = StoreStatus::Done;
-    store_.replace("k", {"n", 4, "{}"}, [&](const StoreAnswer& told) { status = told.status; });
+    store_.replace("k", {"n", 4, "{}"}, [&](const StoreAnswer& received) { status = received.status; });
     return status;
   }
 
@@ -345,7 +346,7 @@
 
 const char* const kObject = R"({"metadata":{"name":"n","revision":5},"spec":{"a":1},"status":null})";
 
-TEST_F(PlatformStoreTest, TellsWhatBecameOfAWrite) {
+TEST_F(PlatformStoreTest, ReportsStatusOfWrite) {
   EXPECT_EQ(replaceStatus(HttpResponse{200, {}, kObject}), StoreStatus::Done);
   EXPECT_EQ(requests_.back().method + " " + requests_.back().target, "PUT /objects/k/n");
   EXPECT_EQ(json::parse(requests_.back().body)["metadata"]["revision"], 4);
@@ -358,11 +359,11 @@
   EXPECT_EQ(replaceStatus(std::nullopt), StoreStatus::Unknown);
 }
 
-TEST_F(PlatformStoreTest, ListsAllPagesAndWatchesFromTheFirst) {
+TEST_F(PlatformStoreTest, ListsAllPagesWithRevisionOfFirstPage) {
   answers_ = {HttpResponse{200, {}, std::string(R"({"items":[)") + kObject + R"(],"more":true,"at":7})"},
               HttpResponse{200, {}, R"({"items":[],"more":false,"at":9})"}};
   StoreListing listing;
-  store_.list("k", ListFreshness::Latest, [&](const StoreListing& told) { listing = told; });
+  store_.list("k", ListFreshness::Latest, [&](const StoreListing& received) { listing = received; });
   EXPECT_TRUE(listing.available);
   EXPECT_EQ(listing.at, 7U);
   ASSERT_EQ(listing.objects.size(), 1U);
@@ -373,53 +374,53 @@
 const char* const kUnreadable =
     R"(7,null,"x",[],{},{"metadata":3},{"metadata":{"name":4,"revision":5}},{"metadata":{"name":"m","revision":-1}})";
 
-TEST_F(PlatformStoreTest, ListsWhatCanBeReadBesideWhatCant) {
+TEST_F(PlatformStoreTest, ListSkipsAndReportsUnreadableObjects) {
   answers_ = {
       HttpResponse{200, {}, std::string(R"({"items":[)") + kUnreadable + "," + kObject + R"(],"more":false,"at":7})"}};
   StoreListing listing;
-  store_.list("k", ListFreshness::Latest, [&](const StoreListing& told) { listing = told; });
+  store_.list("k", ListFreshness::Latest, [&](const StoreListing& received) { listing = received; });
   EXPECT_TRUE(listing.available);
   EXPECT_EQ(listing.objects.size(), 1U);
   EXPECT_EQ(unreadable_, std::vector<std::string>(8, "k"));
 }
 
-TEST_F(PlatformStoreTest, ListGoesOnBehindAPageOfWhichNothingCanBeRead) {
+TEST_F(PlatformStoreTest, ListContinuesAfterPageWithoutReadableObjects) {
   answers_ = {HttpResponse{200, {}, R"({"items":[{"metadata":{"name":"m"}}],"more":true,"at":7})"},
               HttpResponse{200, {}, std::string(R"({"items":[)") + kObject + R"(],"more":false,"at":7})"}};
   StoreListing listing;
-  store_.list("k", ListFreshness::Latest, [&](const StoreListing& told) { listing = told; });
+  store_.list("k", ListFreshness::Latest, [&](const StoreListing& received) { listing = received; });
   EXPECT_EQ(requests_[1].target, "/objects/k?after=m");
   EXPECT_EQ(listing.objects.size(), 1U);
 }
 
-// Asked for again, the event would come again: the watch would hear of nothing else for ever.
-TEST_F(PlatformStoreTest, WatchGoesOnBehindAnEventThatCantBeRead) {
+// Without skipping the event, each further watch would return it again and never reach later events.
+TEST_F(PlatformStoreTest, WatchSkipsAndReportsUnreadableEvents) {
   answers_ = {HttpResponse{
       200,
       {},
       std::string(R"({"events":[)") + kUnreadable + R"(,{"object":)" + kObject + R"(},{"object":[]}],"at":8})"}};
   WatchResult result;
-  store_.watch("k", 6, std::chrono::seconds(20), [&](const WatchResult& told) { result = told; });
+  store_.watch("k", 6, std::chrono::seconds(20), [&](const WatchResult& received) { result = received; });
   EXPECT_EQ(result.status, WatchStatus::Events);
   EXPECT_EQ(result.at, 8U);
   EXPECT_EQ(result.events.size(), 1U);
   EXPECT_EQ(unreadable_.size(), 9U);
 }
 
-TEST_F(PlatformStoreTest, ChecksAtOnceOverAConnectionOfItsOwn) {
+TEST_F(PlatformStoreTest, CheckUsesShortestWaitAndFreshConnection) {
   answers_ = {HttpResponse{200, {}, std::string(R"({"events":[{"object":)") + kObject + R"(}],"at":8})"}};
   WatchResult result;
-  store_.check("k", 6, [&](const WatchResult& told) { result = told; });
+  store_.check("k", 6, [&](const WatchResult& received) { result = received; });
   EXPECT_EQ(requests_[0].target, "/objects/k?watch=6&waitMs=1");
   EXPECT_EQ(connections_[0], StoreConnection::Fresh);
   EXPECT_EQ(result.status, WatchStatus::Events);
   ASSERT_EQ(result.events.size(), 1U);
 }
 
-TEST_F(PlatformStoreTest, TellsEventsInTheirOrder) {
+TEST_F(PlatformStoreTest, WatchReturnsEventsOrMissingHistory) {
   answers_ = {HttpResponse{200, {}, std::string(R"({"events":[{"gone":true,"object":)") + kObject + R"(}],"at":8})"}};
   WatchResult result;
-  store_.watch("k", 6, std::chrono::seconds(20), [&](const WatchResult& told) { result = told; });
+  store_.watch("k", 6, std::chrono::seconds(20), [&](const WatchResult& received) { result = received; });
   EXPECT_EQ(requests_[0].target, "/objects/k?watch=6&waitMs=20000");
   EXPECT_EQ(result.status, WatchStatus::Events);
   EXPECT_EQ(result.at, 8U);
@@ -427,43 +428,43 @@
   EXPECT_TRUE(result.events[0].deleted);
   requests_.clear();
   answers_ = {HttpResponse{410, {}, {}}};
-  store_.watch("k", 6, std::chrono::seconds(20), [&](const WatchResult& told) { result = told; });
+  store_.watch("k", 6, std::chrono::seconds(20), [&](const WatchResult& received) { result = received; });
   EXPECT_EQ(result.status, WatchStatus::HistoryGone);
 }
 
-TEST_F(PlatformStoreTest, TellsTheEraOfEachAnswer) {
-  const std::vector<HttpHeader> in_era = {{"store-era", "3"}};
-  answers_ = {HttpResponse{200, in_era, kObject}};
+TEST_F(PlatformStoreTest, ReturnsStoreEpochOfEachResponse) {
+  const std::vector<HttpHeader> epoch_header = {{"store-era", "3"}};
+  answers_ = {HttpResponse{200, epoch_header, kObject}};
   StoreAnswer answer;
-  const auto keep = [&](const StoreAnswer& told) { answer = told; };
+  const auto keep = [&](const StoreAnswer& received) { answer = received; };
   store_.get("k", "n", keep);
   EXPECT_EQ(answer.era, 3U);
   EXPECT_EQ(answer.object.revision, StoreRevision(3, 5));
   requests_.clear();
-  answers_ = {HttpResponse{410, in_era, {}}};
+  answers_ = {HttpResponse{410, epoch_header, {}}};
   WatchResult result;
-  store_.watch("k", {3, 6}, std::chrono::seconds(20), [&](const WatchResult& told) { result = told; });
+  store_.watch("k", {3, 6}, std::chrono::seconds(20), [&](const WatchResult& received) { result = received; });
   EXPECT_EQ(result.era, 3U);
   EXPECT_EQ(requests_[0].target, "/objects/k?watch=6&waitMs=20000");
 }
 
-TEST_F(PlatformStoreTest, EraThatIsNoNumberIsNotTold) {
-  for (const char* told : {"", "x", "3x", "-1", "99999999999999999999999"}) {
+TEST_F(PlatformStoreTest, StoreEpochIsZeroIfHeaderIsNotANumber) {
+  for (const char* received : {"", "x", "3x", "-1", "99999999999999999999999"}) {
     requests_.clear();
-    answers_ = {HttpResponse{200, {{"Store-Era", told}}, kObject}};
+    answers_ = {HttpResponse{200, {{"Store-Era", received}}, kObject}};
     StoreAnswer answer;
     store_.get("k", "n", [&](const StoreAnswer& given) { answer = given; });
     EXPECT_EQ(answer.status, StoreStatus::Done);
-    EXPECT_EQ(answer.era, 0U) << told;
+    EXPECT_EQ(answer.era, 0U) << received;
   }
 }
 
-TEST_F(PlatformStoreTest, PagesOfTwoErasAreNoList) {
+TEST_F(PlatformStoreTest, ListWithPagesOfTwoStoreEpochsFails) {
   answers_ = {
       HttpResponse{200, {{"Store-Era", "3"}}, std::string(R"({"items":[)") + kObject + R"(],"more":true,"at":7})"},
       HttpResponse{200, {{"Store-Era", "4"}}, R"({"items":[],"more":false,"at":6})"}};
   bool available = true;
-  store_.list("k", ListFreshness::Latest, [&](const StoreListing& told) { available = told.available; });
+  store_.list("k", ListFreshness::Latest, [&](const StoreListing& received) { available = received.available; });
   EXPECT_FALSE(available);
 }
 
