--- a/source/core/operators/node_status.cc
+++ b/source/core/operators/node_status.cc
@@ -25,23 +25,23 @@
   return range;
 }
 
-ordered_json encodeQuarantine(const QuarantineStatus& one) {
-  ordered_json ends = ordered_json::array();
-  for (const InstanceId& end : one.crashed_instances) {
-    ends.push_back(end.value);
+ordered_json encodeQuarantine(const QuarantineStatus& quarantine) {
+  ordered_json crashed = ordered_json::array();
+  for (const InstanceId& instance : quarantine.crashed_instances) {
+    crashed.push_back(instance.value);
   }
-  const auto left_ms = std::chrono::floor<std::chrono::milliseconds>(one.remaining).count();
-  return {{"fingerprint", one.fingerprint}, {"left_ms", left_ms}, {"ends", std::move(ends)}};
+  const auto remaining_ms = std::chrono::floor<std::chrono::milliseconds>(quarantine.remaining).count();
+  return {{"fingerprint", quarantine.fingerprint}, {"left_ms", remaining_ms}, {"ends", std::move(crashed)}};
 }
 
 QuarantineStatus decodeQuarantine(const ordered_json& document) {
-  QuarantineStatus one;
-  one.fingerprint = document.at("fingerprint").get<std::string>();
-  one.remaining = std::chrono::milliseconds(document.at("left_ms").get<std::int64_t>());
-  for (const ordered_json& end : document.at("ends")) {
-    one.crashed_instances.emplace_back(end.get<std::string>());
+  QuarantineStatus quarantine;
+  quarantine.fingerprint = document.at("fingerprint").get<std::string>();
+  quarantine.remaining = std::chrono::milliseconds(document.at("left_ms").get<std::int64_t>());
+  for (const ordered_json& instance : document.at("ends")) {
+    quarantine.crashed_instances.emplace_back(instance.get<std::string>());
   }
-  return one;
+  return quarantine;
 }
 
 NodeStatus decode(const ordered_json& document) {
@@ -72,8 +72,8 @@
   for (const ordered_json& range : document.at("ranges")) {
     status.ranges.push_back(decodeRange(range));
   }
-  for (const ordered_json& one : document.at("quarantined")) {
-    status.quarantined.push_back(decodeQuarantine(one));
+  for (const ordered_json& quarantine : document.at("quarantined")) {
+    status.quarantined.push_back(decodeQuarantine(quarantine));
   }
   return status;
 }
@@ -86,8 +86,8 @@
     ranges.push_back(encodeRange(range));
   }
   ordered_json quarantined = ordered_json::array();
-  for (const QuarantineStatus& one : status.quarantined) {
-    quarantined.push_back(encodeQuarantine(one));
+  for (const QuarantineStatus& quarantine : status.quarantined) {
+    quarantined.push_back(encodeQuarantine(quarantine));
   }
   const ordered_json server = {{"instance", status.instance.value}, {"draining", status.draining},
                                {"silent", status.silent},           {"running", status.load.running},
@@ -97,7 +97,7 @@
     parts[name] = {{"era", revision.era}, {"count", revision.count}};
   }
   const ordered_json config = {{"version", status.config_version}, {"parts", std::move(parts)}};
-  const auto lease_ms = std::chrono::floor<std::chrono::milliseconds>(status.lease_left).count();
+  const auto lease_left_ms = std::chrono::floor<std::chrono::milliseconds>(status.lease_left).count();
   return ordered_json{{"node", status.node.name.value},
                       {"incarnation", status.node.incarnation.value},
                       {"zone", status.zone.value},
@@ -110,7 +110,7 @@
                       {"nodes", status.known_nodes},
                       {"config", config},
                       {"store_era", status.store_epoch},
-                      {"lease_left_ms", lease_ms},
+                      {"lease_left_ms", lease_left_ms},
                       {"ranges", std::move(ranges)},
                       {"quarantined", std::move(quarantined)}}
       .dump();
--- a/source/core/operators/node_status.h
+++ b/source/core/operators/node_status.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What one router tells operators of itself, and its JSON text.
+/// Status that one router reports to operators, and its JSON encoding.
 
 #include <map>
 #include <string>
@@ -14,13 +14,13 @@
 
 namespace shedlever {
 
-/// A request that is kept from servers.
+/// A request that is not sent to servers because servers crashed while running it.
 struct QuarantineStatus {
-  /// As in the logs.
+  /// Same text as in the logs.
   std::string fingerprint;
-  /// Until it may be sent again.
+  /// Time until the request may be sent again.
   Duration remaining{};
-  /// Lives of servers that ended while at work on it, oldest first; none where only a record tells of it.
+  /// Instances that crashed while running the request, oldest first; empty if it is known only from a stored record.
   std::vector<InstanceId> crashed_instances;
 };
 
@@ -31,29 +31,28 @@
   std::string version;
   bool ready = false;
   bool stopping = false;
-  /// Empty while no server runs beside it.
+  /// Instance of the local server; empty while there is none.
   InstanceId instance;
   bool draining = false;
-  /// The server does not answer.
+  /// The server does not respond.
   bool silent = false;
   ServerLoad load;
-  /// Requests of clients without a final answer.
+  /// Number of client requests without a final response.
   std::uint64_t in_flight = 0;
-  /// Nodes that it knows of.
+  /// Number of nodes that this node knows of.
   std::uint64_t known_nodes = 0;
   ConfigVersion config_version = 0;
-  /// Objects of the configuration in force, with their revisions.
+  /// Objects of the active configuration, with their revisions.
   std::map<std::string, StoreRevision> config_parts;
-  /// Latest era of the store heard of; 0 while none was told.
+  /// Latest store epoch seen; 0 while none is known.
   StoreEra store_epoch = 0;
-  /// Zero for a node whose service is not divided by key.
+  /// Remaining time of the node's lease; zero if its service is not divided by key.
   Duration lease_left{};
-  /// Ranges of keys that the owner table gives to this node.
+  /// Key ranges that the owner table assigns to this node.
   std::vector<OwnedRange> ranges;
   std::vector<QuarantineStatus> quarantined;
 };
 
-/// @return JSON text.
 std::string encodeNodeStatus(const NodeStatus& status);
 
 /// @return the status, or a DecodeError.
--- a/source/core/operators/request_trace.cc
+++ b/source/core/operators/request_trace.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Changes of belief so long before a request's end may have decided it.
+/// Other lines are included from this long before the request's first line until this long after its last.
 constexpr std::int64_t kContextBeforeMs = 5000;
 constexpr std::int64_t kContextAfterMs = 200;
 constexpr std::string_view kGatewayComponent = "gateway";
@@ -23,36 +23,36 @@
 };
 
 constexpr std::array<ReasonText, 20> kReasonTexts = {
-    {{"none", "the server's answer was passed on"},
-     {"overloaded", "the server's queue was too long, or the wait was over; it has not run"},
-     {"queue-full", "as many requests of its tenant waited as may; it has not run"},
-     {"wrong-instance", "another life of the server was there; it has not run"},
-     {"not-owner", "the key was another server's by then; it has not run"},
-     {"not-yet-owner", "the key was changing hands; it has not run"},
-     {"draining", "the server was leaving; it has not run"},
-     {"server-refused", "the server said that it had not run it"},
-     {"server-down", "the server, or its node, could not be reached; it has not run"},
-     {"connection-lost", "the connection broke after it was sent; whether it ran is not known"},
-     {"broken-answer", "the server's answer was cut or was not to this request; it may have run"},
-     {"timed-out", "its time was over before an answer came"},
-     {"cancelled", "its client went away"},
-     {"no-instance", "no server of the service was known; it has not run"},
-     {"unknown-service", "no route of the configuration in force takes it"},
-     {"server-unavailable", "this process knew no configuration yet; it has not run"},
-     {"shutting-down", "this process was about to end; it has not run"},
-     {"quarantined", "servers had ended while at work on the same request; it has not run"},
-     {"unauthenticated", "its credential names no tenant"},
-     {"bad-request", "it could not be understood"}}};
+    {{"none", "the server's response was passed on"},
+     {"overloaded", "the server's queue was too long, or the wait limit was reached; not run"},
+     {"queue-full", "the tenant's queue was full; not run"},
+     {"wrong-instance", "another instance of the server was running; not run"},
+     {"not-owner", "the key was owned by another server; not run"},
+     {"not-yet-owner", "the key was being transferred; not run"},
+     {"draining", "the server was draining; not run"},
+     {"server-refused", "the server reported that it did not run the request"},
+     {"server-down", "the server or its node was unreachable; not run"},
+     {"connection-lost", "the connection broke after the request was sent; it is unknown whether it ran"},
+     {"broken-answer", "the server's response was truncated or belonged to another request; the request may have run"},
+     {"timed-out", "the deadline passed before a response arrived"},
+     {"cancelled", "the client disconnected"},
+     {"no-instance", "no server of the service was known; not run"},
+     {"unknown-service", "no route of the active configuration matches the request"},
+     {"server-unavailable", "this process had no configuration yet; not run"},
+     {"shutting-down", "this process was shutting down; not run"},
+     {"quarantined", "servers crashed while running the same request; not run"},
+     {"unauthenticated", "the credential does not belong to a tenant"},
+     {"bad-request", "the request was malformed"}}};
 
 std::string reasonText(const LogLine& line) {
   const std::string reason = line.field("reason");
   const auto found = std::find_if(kReasonTexts.begin(), kReasonTexts.end(),
                                   [&reason](const ReasonText& entry) { return entry.reason == reason; });
-  return std::string(found == kReasonTexts.end() ? "no reason is told" : found->text);
+  return std::string(found == kReasonTexts.end() ? "the reason is missing or unknown" : found->text);
 }
 
 std::string describeAttempt(const LogLine& line) {
-  return "came back from " + line.field("node") + " after " + line.field("held_ms") + " ms: " + reasonText(line) +
+  return "returned from " + line.field("node") + " after " + line.field("held_ms") + " ms: " + reasonText(line) +
          "; next: " + line.field("next");
 }
 
@@ -60,17 +60,17 @@
   std::string sentence = line.event + " with status " + line.field("status") + " after " + line.field("held_ms") +
                          " ms: " + reasonText(line);
   if (const std::string node = line.field("node"); !node.empty() && node != "-") {
-    sentence += "; tried last at " + node;
+    sentence += "; last attempt at " + node;
   }
   return sentence;
 }
 
 std::string describeGateEvent(const LogLine& line) {
   if (line.event == "refused") {
-    return "not begun here: " + reasonText(line) + "; " + line.field("running") + " of " + line.field("slots") +
-           " slots were in use, " + line.field("queued") + " waited";
+    return "not started here: " + reasonText(line) + "; " + line.field("running") + " of " + line.field("slots") +
+           " slots were in use, " + line.field("queued") + " requests were queued";
   }
-  return "the server " + line.field("instance") + " gave no whole answer in " + line.field("ran_ms") +
+  return "the server " + line.field("instance") + " returned no complete response in " + line.field("ran_ms") +
          " ms: " + reasonText(line);
 }
 
@@ -81,22 +81,21 @@
   if (line.event == "attempt-ended") {
     return describeAttempt(line);
   }
-  return line.event == "refused-at-once" ? "refused at once: " + reasonText(line) : describeEnd(line);
+  return line.event == "refused-at-once" ? "refused immediately: " + reasonText(line) : describeEnd(line);
 }
 
-/// @return whether the line is about a single request.
 bool isRequestLine(const LogLine& line) {
   return line.component == kGatewayComponent || line.component == kGateComponent;
 }
 
-/// @return whether the line says something of the request's nodes; what one of them heard of others does not.
+/// @return whether the line is about one of `nodes`: written by one of them and not about a peer outside the set.
 bool concernsNodes(const LogLine& line, const std::set<std::string>& nodes) {
-  const bool tells_of_a_node = line.component == kPeerComponent || line.component == kMembershipComponent;
-  const std::string told_of = tells_of_a_node ? line.field("node") : std::string();
-  return nodes.contains(line.node) && (told_of.empty() || nodes.contains(told_of));
+  const bool is_about_peer = line.component == kPeerComponent || line.component == kMembershipComponent;
+  const std::string peer = is_about_peer ? line.field("node") : std::string();
+  return nodes.contains(line.node) && (peer.empty() || nodes.contains(peer));
 }
 
-/// Takes one value off the front: a word, or a quoted text.
+/// Removes one value, a word or a quoted text, from the front of `rest`.
 std::string consumeValue(std::string_view& rest) {
   std::string value;
   if (rest.empty() || rest.front() != '"') {
@@ -131,7 +130,7 @@
   }
   LogLine line;
   line.node = node;
-  // Whatever stands before the part was put there by who collected the logs.
+  // Log collectors may have put text before the component.
   const std::string_view before = text.substr(0, colon);
   line.component = before.substr(before.rfind(' ') == std::string_view::npos ? 0 : before.rfind(' ') + 1);
   std::string_view rest = text.substr(colon + 2);
--- a/source/core/operators/request_trace.h
+++ b/source/core/operators/request_trace.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The way of one request through the logs of many routers, in words.
+/// Reconstructs what happened to one request from the logs of several routers.
 
 #include <cstdint>
 #include <map>
@@ -14,31 +14,31 @@
 
 /// One line of a router's structured log.
 struct LogLine {
-  /// Node whose log it is.
+  /// Node that wrote the line.
   std::string node;
   std::string component;
   std::string event;
-  /// Time of day in milliseconds.
+  /// Wall-clock time, in milliseconds.
   std::int64_t at_ms = 0;
   std::map<std::string, std::string, std::less<>> fields;
 
-  /// @return the field's value; empty when the line has none.
+  /// @return the field's value; empty if the line does not have the field.
   std::string field(std::string_view name) const;
 };
 
-/// @return the line; none for text that is no line of the log.
+/// @return the parsed line; nothing if the text is not a line of the structured log.
 std::optional<LogLine> parseLogLine(const std::string& node, std::string_view text);
 
-/// A line that belongs to a request's way.
+/// One log line of a request's trace.
 struct TraceStep {
   LogLine line;
-  /// What it says about the request, one sentence; empty for lines that only stand around it.
+  /// One sentence on what the line means for the request; empty for lines that only give context.
   std::string description;
 };
 
-/// Finds the request's own lines, and what its node and the node that it was sent to believed shortly before and while
-/// it was held. In order of time.
-/// @return empty when no line has the id: it was served and its line left out, or its log is missing.
+/// Collects the log lines of one request, and the other lines of the nodes involved from shortly before until shortly
+/// after them, ordered by time.
+/// @return empty if no line has the id: not every successful request is logged, or a log is missing.
 std::vector<TraceStep> traceRequest(const std::vector<LogLine>& lines, const std::string& id);
 
 }  // namespace shedlever
--- a/source/core/operators/text_table.cc
+++ b/source/core/operators/text_table.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr std::size_t kColumnGap = 2;
+constexpr std::size_t kColumnGap = 2;  // in characters
 
 std::string formatRow(const std::vector<std::string>& cells, const std::vector<std::size_t>& widths) {
   std::string text;
--- a/source/core/operators/text_table.h
+++ b/source/core/operators/text_table.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A table for people (columns aligned) or for programs (JSON).
+/// A table that is printed as aligned columns or as JSON.
 
 #include <nlohmann/json.hpp>
 #include <string>
@@ -9,22 +9,22 @@
 
 namespace shedlever {
 
-/// Keeps members in the order written, so that people find them where they expect them.
+/// JSON whose object members keep their insertion order.
 using OrderedJson = nlohmann::ordered_json;
 
 class TextTable {
  public:
   explicit TextTable(std::vector<std::string> columns);
 
-  /// @param cells as many as there are columns.
+  /// @param cells one per column; missing cells are empty.
   void add(std::vector<std::string> cells);
 
   bool empty() const { return rows_.empty(); }
 
-  /// @return one line a row under a line with the columns' names; no trailing blanks.
+  /// @return a line with the column names, then one line per row, without trailing blanks.
   std::string text() const;
 
-  /// @return a list with one object a row, keyed by the columns' names.
+  /// @return a list with one object per row, keyed by column name.
   OrderedJson json() const;
 
  private:
