--- a/source/core/settings/endpoint_text.h
+++ b/source/core/settings/endpoint_text.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Endpoints as text: "IP:PORT" or "[IPv6]:PORT". Never host names.
+/// Converts endpoints to and from text: "IP:PORT" or "[IPv6]:PORT". Host names are not supported.
 
 #include <optional>
 #include <string>
@@ -11,13 +11,13 @@
 
 namespace shedlever {
 
-/// @return the endpoint; nothing unless the text is an IP number and a port from 0 to 65535.
+/// @return the endpoint; nothing unless the text is an IP address and a port from 0 to 65535.
 std::optional<Endpoint> parseEndpoint(std::string_view text);
 
-/// @return the text that `parseEndpoint` reads back, IPv6 numbers in brackets.
+/// @return the text that `parseEndpoint` parses, with IPv6 addresses in brackets.
 std::string endpointText(const Endpoint& endpoint);
 
-/// @return whether the address stands for all addresses of the machine, so that no peer can use it.
+/// @return whether the address means all addresses of the host and so is of no use to a peer.
 bool isWildcard(const Endpoint& endpoint);
 
 }  // namespace shedlever
--- a/source/core/settings/near_miss.cc
+++ b/source/core/settings/near_miss.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-/// Longer names than this are no slip of the keys; it bounds the work for one comparison.
+/// Longer names get no suggestion, which bounds the cost of a comparison.
 constexpr std::size_t kMaxNameLength = 64;
-/// One edit is allowed for this many characters, and one more.
+/// One edit is allowed for each group of this many characters, plus one.
 constexpr std::size_t kCharactersPerEdit = 4;
 
-/// @return whether only the end of the name, such as the unit in "lease_ms", was left out.
+/// @return whether `given` is `name` without its last parts, such as the unit in "lease_ms".
 bool lacksOnlySuffix(std::string_view given, std::string_view name) {
   return name.size() > given.size() + 1 && name.substr(0, given.size()) == given && name[given.size()] == '_';
 }
@@ -24,9 +24,9 @@
     std::size_t diagonal = row[0];
     row[0] = i + 1;
     for (std::size_t j = 0; j < right.size(); ++j) {
-      const std::size_t replaced = diagonal + (left[i] == right[j] ? 0 : 1);
+      const std::size_t substituted = diagonal + (left[i] == right[j] ? 0 : 1);
       diagonal = row[j + 1];
-      row[j + 1] = std::min({replaced, row[j] + 1, diagonal + 1});
+      row[j + 1] = std::min({substituted, row[j] + 1, diagonal + 1});
     }
   }
   return row.back();
--- a/source/core/settings/service_checks.cc
+++ b/source/core/settings/service_checks.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// The checks of one service. Each finding stands at the document that gives the value.
+/// Checks one service. Each finding is located in the document that sets the value.
 class ServiceChecker {
  public:
   ServiceChecker(const ParsedDocuments& documents, const ServiceSettings& service, Findings& findings)
@@ -51,22 +51,23 @@
   }
 
   void checkTenants() {
-    const Json::json_pointer place("/tenants");
+    const Json::json_pointer location("/tenants");
     for (std::size_t i = 0; i < service_.tenants.size(); ++i) {
       const TenantSettings& tenant = service_.tenants[i];
       for (std::size_t j = 0; j < i; ++j) {
-        checkTenantPair(place / i, tenant, service_.tenants[j]);
+        checkTenantPair(location / i, tenant, service_.tenants[j]);
       }
     }
   }
 
-  void checkTenantPair(const Json::json_pointer& place, const TenantSettings& tenant, const TenantSettings& earlier) {
+  void checkTenantPair(const Json::json_pointer& location, const TenantSettings& tenant,
+                       const TenantSettings& earlier) {
     if (!tenant.name.empty() && tenant.name == earlier.name) {
-      add(place / "name",
+      add(location / "name",
           "is the name of an earlier tenant of the service too: " + quotedText(tenant.name.value) + ".");
     }
     if (!tenant.credential_sha256.empty() && tenant.credential_sha256 == earlier.credential_sha256) {
-      add(place / "credential_sha256", "is the credential of tenant " + quotedText(earlier.name.value) + " too.");
+      add(location / "credential_sha256", "is the credential of tenant " + quotedText(earlier.name.value) + " too.");
     }
   }
 
@@ -83,13 +84,13 @@
     return;
   }
   if (beginsWith(service.path_prefix, other.path_prefix) || beginsWith(other.path_prefix, service.path_prefix)) {
-    const DocumentLocation place = locationOf(documents, service.name, Json::json_pointer("/path_prefix"));
-    findings.add(place.text(), "overlaps with " + quotedText(other.path_prefix) + " of " +
-                                   serviceDocumentName(other.name).value + ": a path would belong to both.");
+    const DocumentLocation location = locationOf(documents, service.name, Json::json_pointer("/path_prefix"));
+    findings.add(location.text(), "overlaps with " + quotedText(other.path_prefix) + " of " +
+                                      serviceDocumentName(other.name).value + ": a path would belong to both.");
   }
 }
 
-/// Where a credential was first seen.
+/// Service and tenant in which a credential was first found.
 struct CredentialOwner {
   ServiceName service;
   TenantName tenant;
@@ -104,9 +105,9 @@
     if (tenant.credential_sha256.empty()) {
       continue;
     }
-    const auto [owner, fresh] =
+    const auto [owner, inserted] =
         owners.try_emplace(tenant.credential_sha256, CredentialOwner{service.name, tenant.name});
-    if (fresh || owner->second.tenant == tenant.name || owner->second.service == service.name) {
+    if (inserted || owner->second.tenant == tenant.name || owner->second.service == service.name) {
       continue;
     }
     const Json::json_pointer pointer = Json::json_pointer("/tenants") / i / "credential_sha256";
--- a/source/core/settings/service_checks.h
+++ b/source/core/settings/service_checks.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Checks of values against each other, inside one service and between services.
+/// Consistency checks between values of one service and between services.
 
 #include "shedlever/errors.h"
 #include "shedlever/settings.h"
@@ -9,11 +9,11 @@
 
 namespace shedlever {
 
-/// Checks what must agree inside one service: deadlines, key source, once-only against repeatable, back
-/// end limits, tenants.
+/// Checks the values of one service: required values, deadlines, tenants, and that it is not both `once_only` and
+/// `repeatable`.
 void checkService(const ParsedDocuments& documents, const ServiceSettings& service, Findings& findings);
 
-/// Checks what must agree between services: path prefixes don't overlap, a credential names one tenant.
+/// Checks across services: path prefixes must not overlap, and a credential must belong to one tenant only.
 void checkServices(const ParsedDocuments& documents, const DeploymentSettings& settings, Findings& findings);
 
 }  // namespace shedlever
--- a/source/core/settings/settings_diff.cc
+++ b/source/core/settings/settings_diff.cc
@@ -6,17 +6,17 @@
 
 namespace {
 
-void compareValues(const Json::json_pointer& place, const Json& before, const Json& after,
+void compareValues(const Json::json_pointer& pointer, const Json& before, const Json& after,
                    std::vector<JsonDifference>& differences);
 
-/// Compares a member that one side may lack.
-void compareMember(const Json::json_pointer& place, const Json* before, const Json* after,
+/// Compares a member that may be missing on one side.
+void compareMember(const Json::json_pointer& pointer, const Json* before, const Json* after,
                    std::vector<JsonDifference>& differences) {
   if (before != nullptr && after != nullptr) {
-    compareValues(place, *before, *after, differences);
+    compareValues(pointer, *before, *after, differences);
     return;
   }
-  JsonDifference difference{place.to_string(), std::nullopt, std::nullopt};
+  JsonDifference difference{pointer.to_string(), std::nullopt, std::nullopt};
   if (before != nullptr) {
     difference.before = *before;
   }
@@ -31,7 +31,7 @@
   return found == object.end() ? nullptr : &*found;
 }
 
-void compareObjects(const Json::json_pointer& place, const Json& before, const Json& after,
+void compareObjects(const Json::json_pointer& pointer, const Json& before, const Json& after,
                     std::vector<JsonDifference>& differences) {
   std::set<std::string> keys;
   for (const Json* side : {&before, &after}) {
@@ -40,31 +40,31 @@
     }
   }
   for (const std::string& key : keys) {
-    compareMember(place / key, memberOf(before, key), memberOf(after, key), differences);
+    compareMember(pointer / key, memberOf(before, key), memberOf(after, key), differences);
   }
 }
 
-void compareLists(const Json::json_pointer& place, const Json& before, const Json& after,
+void compareLists(const Json::json_pointer& pointer, const Json& before, const Json& after,
                   std::vector<JsonDifference>& differences) {
   for (std::size_t i = 0; i < std::max(before.size(), after.size()); ++i) {
     const Json* left = i < before.size() ? &before[i] : nullptr;
     const Json* right = i < after.size() ? &after[i] : nullptr;
-    compareMember(place / i, left, right, differences);
+    compareMember(pointer / i, left, right, differences);
   }
 }
 
-void compareValues(const Json::json_pointer& place, const Json& before, const Json& after,
+void compareValues(const Json::json_pointer& pointer, const Json& before, const Json& after,
                    std::vector<JsonDifference>& differences) {
   if (before.is_object() && after.is_object()) {
-    compareObjects(place, before, after, differences);
+    compareObjects(pointer, before, after, differences);
   } else if (before.is_array() && after.is_array()) {
-    compareLists(place, before, after, differences);
+    compareLists(pointer, before, after, differences);
   } else if (before != after) {
-    differences.push_back({place.to_string(), before, after});
+    differences.push_back({pointer.to_string(), before, after});
   }
 }
 
-/// @return whether `inner` is `outer` or lies inside it.
+/// @return whether `inner` equals `outer` or points to a value inside it.
 bool isWithin(const std::string& inner, const std::string& outer) {
   return inner.compare(0, outer.size(), outer) == 0 && (inner.size() == outer.size() || inner[outer.size()] == '/');
 }
@@ -81,15 +81,15 @@
 
 std::vector<std::string> overlappingPointers(const std::vector<JsonDifference>& left,
                                              const std::vector<JsonDifference>& right) {
-  std::set<std::string> places;
-  for (const JsonDifference& own : left) {
-    for (const JsonDifference& other : right) {
-      if (isWithin(own.pointer, other.pointer) || isWithin(other.pointer, own.pointer)) {
-        places.insert(own.pointer.size() > other.pointer.size() ? own.pointer : other.pointer);
+  std::set<std::string> pointers;
+  for (const JsonDifference& ours : left) {
+    for (const JsonDifference& theirs : right) {
+      if (isWithin(ours.pointer, theirs.pointer) || isWithin(theirs.pointer, ours.pointer)) {
+        pointers.insert(ours.pointer.size() > theirs.pointer.size() ? ours.pointer : theirs.pointer);
       }
     }
   }
-  return {places.begin(), places.end()};
+  return {pointers.begin(), pointers.end()};
 }
 
 std::string toString(const std::vector<JsonDifference>& differences) {
--- a/source/core/settings/settings_diff.h
+++ b/source/core/settings/settings_diff.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What differs between two JSON documents, by JSON pointer.
+/// Compares two JSON documents and lists the differences by JSON pointer.
 
 #include <optional>
 #include <string>
@@ -11,25 +11,26 @@
 
 namespace shedlever {
 
-/// One place at which two documents differ.
+/// One value that differs between two documents.
 struct JsonDifference {
-  /// JSON pointer.
+  /// JSON pointer to the value.
   std::string pointer;
-  /// The value on either side; nothing where there is none.
+  /// Value in each document; nothing if the document does not contain it.
   std::optional<Json> before;
   std::optional<Json> after;
 
   bool operator==(const JsonDifference&) const = default;
 };
 
-/// Goes into objects by key and into lists by position. @return the differences in the order of places.
+/// Compares objects by key and arrays by index.
+/// @return the differences, ordered by key and index.
 std::vector<JsonDifference> diffJson(const Json& before, const Json& after);
 
-/// @return the places at which both sets of differences touch the same value, or one inside the other.
+/// @return pointers to values that both sets of differences change, directly or through a value that contains them.
 std::vector<std::string> overlappingPointers(const std::vector<JsonDifference>& left,
                                              const std::vector<JsonDifference>& right);
 
-/// @return one line a difference: "/slices: 64 -> 32", "/slices: added 32", "/slices: removed 64".
+/// @return one line per difference: "/slices: 64 -> 32", "/slices: added 32", "/slices: removed 64".
 std::string toString(const std::vector<JsonDifference>& differences);
 
 }  // namespace shedlever
--- a/source/core/settings/settings_documents.cc
+++ b/source/core/settings/settings_documents.cc
@@ -48,8 +48,8 @@
 
 std::optional<DocumentLocation> sourceOf(const ParsedDocuments& documents, const ServiceName& service,
                                          const Json::json_pointer& pointer) {
-  const auto own = documents.services.find(service);
-  if (own != documents.services.end() && own->second.json.contains(pointer)) {
+  const auto service_document = documents.services.find(service);
+  if (service_document != documents.services.end() && service_document->second.json.contains(pointer)) {
     return DocumentLocation(serviceDocumentName(service).value, pointer);
   }
   const Json::json_pointer inherited = Json::json_pointer(std::string("/") + kServiceDefaultsKey) / pointer;
--- a/source/core/settings/settings_documents.h
+++ b/source/core/settings/settings_documents.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A set of parsed settings documents, and where in it a service's value comes from.
+/// Parsed settings documents, and the lookup of the location that sets a service's value.
 
 #include <map>
 #include <optional>
@@ -13,25 +13,24 @@
 
 namespace shedlever {
 
-/// Key of the metadata that `config apply` writes into each document; no setting.
+/// Key of the metadata that `config apply` writes into each document; not a setting.
 inline constexpr const char* kChangeKey = "change";
-/// Keys of the deployment document.
+/// Key of the deployment document with the values that all services inherit.
 inline constexpr const char* kServiceDefaultsKey = "service";
-/// Keys of a service's document beside its fields.
+/// Keys of a service's document in addition to its fields.
 inline constexpr const char* kBackendKey = "backend";
 inline constexpr const char* kBackendsKey = "backends";
 inline constexpr const char* kTenantsKey = "tenants";
 
-/// One service's document.
 struct ServiceDocument {
   SettingsVersion version = 0;
   Json json;
 };
 
-/// All documents that could be read, by what they are.
+/// All documents that could be parsed.
 struct ParsedDocuments {
   SettingsVersion deployment_version = 0;
-  /// An empty object when there is no such document.
+  /// Empty object if the document is missing or could not be parsed.
   Json deployment = Json::object();
   std::map<ServiceName, ServiceDocument> services;
 };
@@ -39,15 +38,17 @@
 /// @return "services/NAME".
 DocumentName serviceDocumentName(const ServiceName& service);
 
-/// Sorts and parses documents. What can't be parsed or has an unknown name is a finding and left out.
+/// Parses documents. Unknown names, invalid service names and malformed texts are findings; documents with an unknown
+/// name or a malformed text are omitted.
 ParsedDocuments parseDocuments(const std::map<DocumentName, SettingsDocument>& documents, Findings& findings);
 
 /// @param pointer a value of the service, e.g. "/backend/slots".
-/// @return the nearest document place that gives it; nothing when it is a default.
+/// @return the location that sets the value, in the service's own document or else in the deployment document; nothing
+/// if the value is a default.
 std::optional<DocumentLocation> sourceOf(const ParsedDocuments& documents, const ServiceName& service,
                                          const Json::json_pointer& pointer);
 
-/// @return the same, or the value's place in the service's own document when it is a default.
+/// @return the location that sets the value; for a default, its location in the service's own document.
 DocumentLocation locationOf(const ParsedDocuments& documents, const ServiceName& service,
                             const Json::json_pointer& pointer);
 
--- a/source/core/settings/settings_effective.h
+++ b/source/core/settings/settings_effective.h
@@ -1,14 +1,14 @@
 #pragma once
 
 /// @file
-/// Effective settings written back with every value given.
+/// Converts effective settings to JSON with every value present.
 
 #include "shedlever/settings.h"
 #include "source/core/settings/settings_json.h"
 
 namespace shedlever {
 
-/// @return one service with every value, back ends and tenants included.
+/// @return all values of one service, including its back ends and tenants.
 Json effectiveService(const ServiceSettings& service);
 
 }  // namespace shedlever
--- a/source/core/settings/settings_explain.cc
+++ b/source/core/settings/settings_explain.cc
@@ -27,11 +27,11 @@
 
  private:
   std::string sourceName(const Json::json_pointer& pointer) const {
-    const std::optional<DocumentLocation> place = sourceOf(documents_, service_.name, pointer);
-    if (!place) {
+    const std::optional<DocumentLocation> location = sourceOf(documents_, service_.name, pointer);
+    if (!location) {
       return "default";
     }
-    return place->pointer() == pointer ? serviceDocumentName(service_.name).value : kDeploymentDocument;
+    return location->pointer() == pointer ? serviceDocumentName(service_.name).value : kDeploymentDocument;
   }
 
   template <class Owner>
@@ -43,13 +43,14 @@
   }
 
   void addBackend(const NodeName& name, const BackendSettings& backend) {
-    const Json::json_pointer place = Json::json_pointer() / kBackendsKey / name.value;
+    const Json::json_pointer location = Json::json_pointer() / kBackendsKey / name.value;
     for (const FieldRow<BackendSettings>& row : backendFields()) {
-      const Json::json_pointer pointer = place / std::string(row.name);
-      const bool own = sourceOf(documents_, service_.name, pointer).has_value();
-      const std::string own_source = serviceDocumentName(service_.name).value + place.to_string();
-      const std::string inherited = sourceName(Json::json_pointer() / kBackendKey / std::string(row.name));
-      values_.push_back({pointer.to_string(), writeField(row, backend).dump(), own ? own_source : inherited});
+      const Json::json_pointer pointer = location / std::string(row.name);
+      const bool is_overridden = sourceOf(documents_, service_.name, pointer).has_value();
+      const std::string override_source = serviceDocumentName(service_.name).value + location.to_string();
+      const std::string inherited_source = sourceName(Json::json_pointer() / kBackendKey / std::string(row.name));
+      values_.push_back(
+          {pointer.to_string(), writeField(row, backend).dump(), is_overridden ? override_source : inherited_source});
     }
   }
 
--- a/source/core/settings/settings_field.h
+++ b/source/core/settings/settings_field.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// One row of the field tables: everything that is known of one setting, in one place. Parsing, range
-/// checks, `config get --effective` and the settings reference all read the same rows.
+/// Field tables of the settings: one row per setting, with its type, limits and description. Parsing, range checks,
+/// `config get --effective` and the settings reference all use these rows.
 
 #include <cstdint>
 #include <optional>
@@ -17,12 +17,12 @@
 
 namespace shedlever {
 
-/// The member that a row fills. Its type is the setting's type.
+/// The struct member that a row sets; its type is the type of the setting.
 template <class Owner>
 using FieldMember = std::variant<bool Owner::*, std::uint32_t Owner::*, double Owner::*, Duration Owner::*,
                                  std::string Owner::*, TenantName Owner::*, KeySource Owner::*>;
 
-/// What a text must look like.
+/// Required format of a text.
 enum class TextRule : std::uint8_t {
   Name,        ///< lower-case letters, digits and inner hyphens, at most 63
   PathPrefix,  ///< begins and ends with "/"
@@ -31,27 +31,27 @@
   Sha256,      ///< 64 lower-case hex digits
 };
 
-/// What values are right, in the units of the document.
+/// Allowed values, in the units of the document.
 struct FieldLimits {
   double minimum = 0;
   double maximum = 0;
   TextRule rule = TextRule::Name;
 };
 
-/// Where a setting may stand.
+/// Documents in which a setting is allowed.
 enum class FieldScope : std::uint8_t {
-  Inherited,    ///< anywhere; a child inherits it
+  Inherited,    ///< in any document; inherited by services
   ServiceOnly,  ///< only in a service's own document
 };
 
-/// One setting. @tparam Owner the struct that holds the member.
+/// One setting. @tparam Owner the struct that contains the member.
 template <class Owner>
 struct FieldRow {
-  /// Key in the document; durations end in "_ms".
+  /// Key in the document; ends in "_ms" for durations.
   std::string_view name;
   FieldMember<Owner> member;
   FieldLimits limits;
-  /// One sentence for the reference.
+  /// One sentence for the settings reference.
   std::string_view description;
   FieldScope scope = FieldScope::Inherited;
 };
@@ -64,7 +64,7 @@
 FieldRows<BackendSettings> backendFields();
 FieldRows<TenantSettings> tenantFields();
 
-/// @return what is wrong with the value, as "must be ..."; nothing when it was taken into `target`.
+/// @return why the value is invalid, as "must be ..."; nothing if it was stored in `target`.
 std::optional<std::string> readValue(const Json& value, const FieldLimits& limits, bool& target);
 std::optional<std::string> readValue(const Json& value, const FieldLimits& limits, std::uint32_t& target);
 std::optional<std::string> readValue(const Json& value, const FieldLimits& limits, double& target);
@@ -73,7 +73,7 @@
 std::optional<std::string> readValue(const Json& value, const FieldLimits& limits, TenantName& target);
 std::optional<std::string> readValue(const Json& value, const FieldLimits& limits, KeySource& target);
 
-/// @return the value as a document gives it.
+/// @return the value as it is written in a document.
 Json writeValue(bool value);
 Json writeValue(std::uint32_t value);
 Json writeValue(double value);
@@ -82,7 +82,7 @@
 Json writeValue(const TenantName& value);
 Json writeValue(KeySource value);
 
-/// @return type and range in words, e.g. "a whole number, 1 to 3". The value only names the type.
+/// @return type and range as text, e.g. "a whole number, 1 to 3". The value only selects the type.
 std::string describeType(const FieldLimits& limits, bool value);
 std::string describeType(const FieldLimits& limits, std::uint32_t value);
 std::string describeType(const FieldLimits& limits, double value);
@@ -91,12 +91,11 @@
 std::string describeType(const FieldLimits& limits, const TenantName& value);
 std::string describeType(const FieldLimits& limits, KeySource value);
 
-/// @return whether the text keeps the rule.
 bool matchesRule(std::string_view text, TextRule rule);
 
-/// Takes each value that `object` gives into `owner`; a wrong one is a finding and leaves the old value.
+/// Reads the values present in `object` into `owner`. An invalid value is a finding and leaves the member unchanged.
 template <class Owner>
-void readFields(const Json& object, const DocumentLocation& place, FieldRows<Owner> rows, Owner& owner,
+void readFields(const Json& object, const DocumentLocation& location, FieldRows<Owner> rows, Owner& owner,
                 Findings& findings) {
   for (const FieldRow<Owner>& row : rows) {
     const auto found = object.find(row.name);
@@ -105,12 +104,12 @@
     }
     const auto read = [&](auto member) { return readValue(*found, row.limits, owner.*member); };
     if (const std::optional<std::string> problem = std::visit(read, row.member)) {
-      findings.add(place.child(row.name).text(), *problem);
+      findings.add(location.child(row.name).text(), *problem);
     }
   }
 }
 
-/// @return the row's value in `owner` as a document gives it.
+/// @return the row's value in `owner` as it is written in a document.
 template <class Owner>
 Json writeField(const FieldRow<Owner>& row, const Owner& owner) {
   return std::visit([&owner](auto member) { return writeValue(owner.*member); }, row.member);
@@ -133,7 +132,7 @@
   return names;
 }
 
-/// Runs `visit(name, member, rows)` for each group of settings inside a service.
+/// Calls `visit(name, member, rows)` for each nested group of settings of a service.
 template <class Visitor>
 void visitServiceGroups(Visitor&& visit) {
   visit(std::string_view("retry"), &ServiceSettings::retry, retryFields());
--- a/source/core/settings/settings_history.h
+++ b/source/core/settings/settings_history.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Earlier versions of a settings document, kept in an object of their own beside it. Whoever replaces a
-/// version records it here first, so no version that was ever replaced is missing (up to the bound).
+/// Earlier versions of a settings document, stored in a separate object. A writer records a version here before it
+/// replaces that version, so the history contains every replaced version up to `kMaxHistoryVersions`.
 
 #include <optional>
 #include <string>
@@ -13,14 +13,14 @@
 
 namespace shedlever {
 
-/// Name in the platform's store: this, then the document's name. Lies outside `kSettingsPrefix`, so that
-/// no node reads it as settings.
+/// Prefix of a history object's name, followed by the document's name. Differs from `kSettingsPrefix`, so that no node
+/// reads a history as settings.
 inline constexpr const char* kHistoryPrefix = "history/";
 
-/// Versions kept of each document.
+/// Maximum number of versions kept per document.
 inline constexpr std::size_t kMaxHistoryVersions = 32;
 
-/// One version of a document with its text as it was stored.
+/// One version of a document, with its text as stored.
 struct HistoryVersion {
   SettingsVersion version = 0;
   ChangeInfo change;
@@ -29,19 +29,20 @@
 
 class SettingsHistory {
  public:
-  /// @return the history in the text; nothing when it can't be understood.
+  /// @return the parsed history; nothing if the text is malformed.
   static std::optional<SettingsHistory> parse(const std::string& text);
 
-  /// @return the text to be stored.
+  /// @return the history as text to be stored.
   std::string text() const;
 
-  /// Records a version; the oldest is dropped beyond `kMaxHistoryVersions`. One that is recorded already stays.
+  /// Records a version unless it is already recorded. Drops the oldest version beyond `kMaxHistoryVersions`.
   void record(SettingsVersion version, const std::string& document_text);
 
+  /// @return the version; null if it is not recorded.
   const HistoryVersion* find(SettingsVersion version) const;
   const HistoryVersion* findChange(const std::string& change_id) const;
 
-  /// Ascending.
+  /// In ascending order of versions.
   const std::vector<HistoryVersion>& versions() const { return versions_; }
 
  private:
--- a/source/core/settings/settings_json.cc
+++ b/source/core/settings/settings_json.cc
@@ -9,12 +9,12 @@
 
 namespace {
 
-/// Follows the parser, to find keys given twice and nesting too deep; the parser itself accepts both.
+/// Finds duplicate keys and too deep nesting while a document is parsed; the parser itself accepts both.
 class StructureChecker {
  public:
   StructureChecker(const std::string& document, Findings& findings) : document_(document), findings_(findings) {}
 
-  /// @return false to drop the value that is being read.
+  /// @return false to discard the value that is being parsed.
   bool onEvent(int depth, Json::parse_event_t event, const Json& parsed) {
     switch (event) {
       case Json::parse_event_t::object_start:
@@ -35,7 +35,7 @@
   }
 
  private:
-  /// One object or array that is open.
+  /// An object or array whose end has not been reached.
   struct Level {
     std::set<std::string> keys;
     std::string current_key;
@@ -45,7 +45,7 @@
   bool begin(int depth) {
     if (depth >= kMaxNestingDepth) {
       if (!too_deep_) {
-        findings_.add(place().text(), "is nested deeper than " + std::to_string(kMaxNestingDepth) + " levels.");
+        findings_.add(location().text(), "is nested deeper than " + std::to_string(kMaxNestingDepth) + " levels.");
       }
       too_deep_ = true;
       levels_.emplace_back();
@@ -69,7 +69,7 @@
     Level& level = levels_.back();
     level.current_key = key;
     if (!level.keys.insert(key).second) {
-      findings_.add(place().text(), "is given twice in the same object; keep one of the two.");
+      findings_.add(location().text(), "is given twice in the same object; remove one of them.");
     }
   }
 
@@ -79,13 +79,14 @@
     }
   }
 
-  DocumentLocation place() const {
-    DocumentLocation place(document_);
+  DocumentLocation location() const {
+    DocumentLocation location(document_);
     for (const Level& level : levels_) {
       const bool in_object = !level.keys.empty();
-      place = in_object ? place.child(level.current_key) : place.child(level.elements == 0 ? 0 : level.elements - 1);
+      location =
+          in_object ? location.child(level.current_key) : location.child(level.elements == 0 ? 0 : level.elements - 1);
     }
-    return place;
+    return location;
   }
 
   const std::string& document_;
@@ -94,7 +95,7 @@
   bool too_deep_ = false;
 };
 
-/// @return ":LINE:COLUMN" of the byte at which parsing stopped, both counted from 1.
+/// @return ":LINE:COLUMN" of the byte at which parsing stopped; both start at 1.
 std::string lineAndColumn(const std::string& text, std::size_t byte) {
   const std::size_t end = std::min(byte == 0 ? 0 : byte - 1, text.size());
   const auto line = std::count(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(end), '\n') + 1;
@@ -106,8 +107,8 @@
 /// @return the library's message without its leading "[...] parse error at line ...: ".
 std::string parseMessage(const Json::parse_error& error) {
   const std::string text = error.what();
-  const std::size_t dash = text.find(": ");
-  return dash == std::string::npos ? text : text.substr(dash + 2);
+  const std::size_t separator = text.find(": ");
+  return separator == std::string::npos ? text : text.substr(separator + 2);
 }
 
 }  // namespace
@@ -126,9 +127,9 @@
 std::string DocumentLocation::text() const { return document_ + "#" + pointer_.to_string(); }
 
 std::optional<Json> parseDocument(const std::string& document, const std::string& text, Findings& findings) {
-  StructureChecker watch(document, findings);
-  const auto callback = [&watch](int depth, Json::parse_event_t event, Json& parsed) {
-    return watch.onEvent(depth, event, parsed);
+  StructureChecker checker(document, findings);
+  const auto callback = [&checker](int depth, Json::parse_event_t event, Json& parsed) {
+    return checker.onEvent(depth, event, parsed);
   };
   try {
     Json json = Json::parse(text, callback);
@@ -144,11 +145,11 @@
   return std::nullopt;
 }
 
-void checkKeys(const Json& object, const DocumentLocation& place, const std::vector<std::string_view>& known,
+void checkKeys(const Json& object, const DocumentLocation& location, const std::vector<std::string_view>& known,
                Findings& findings) {
   for (const auto& [key, value] : object.items()) {
     if (std::find(known.begin(), known.end(), key) == known.end()) {
-      findings.add(place.child(key).text(), "is not a known setting here." + didYouMean(key, known));
+      findings.add(location.child(key).text(), "is not a known setting here." + didYouMean(key, known));
     }
   }
 }
--- a/source/core/settings/settings_json.h
+++ b/source/core/settings/settings_json.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Reads the JSON text of one settings document and names places inside it.
+/// Parses the JSON text of one settings document and describes locations in it.
 
 #include <map>
 #include <nlohmann/json.hpp>
@@ -17,14 +17,14 @@
 
 using Json = nlohmann::json;
 
-/// A place inside a document, shown as "services/talash#/backend/slots".
+/// A location in a document, written as "services/talash#/backend/slots".
 class DocumentLocation {
  public:
   explicit DocumentLocation(std::string document, Json::json_pointer pointer = Json::json_pointer());
 
-  /// @return the place of a member of the object here.
+  /// @return the location of a member of the object at this location.
   DocumentLocation child(std::string_view key) const;
-  /// @return the place of an element of the array here.
+  /// @return the location of an element of the array at this location.
   DocumentLocation child(std::size_t index) const;
 
   const Json::json_pointer& pointer() const { return pointer_; }
@@ -35,19 +35,19 @@
   Json::json_pointer pointer_;
 };
 
-/// Nesting beyond this is refused: no settings document needs it, and it bounds recursion.
+/// Deeper nesting is rejected, which bounds recursion; no valid settings document is nested as deeply.
 inline constexpr int kMaxNestingDepth = 16;
 
-/// @param document names the document in findings.
-/// @return the document, which is an object; nothing when the text is no JSON object. Malformed text is
-/// a finding with line and column, a key given twice in one object is one with its pointer.
+/// @param document name of the document in findings.
+/// @return the JSON object; nothing, with a finding, if the text is not a JSON object. The finding of malformed text
+/// has its line and column; a duplicate key in an object and too deep nesting are findings with their JSON pointer.
 std::optional<Json> parseDocument(const std::string& document, const std::string& text, Findings& findings);
 
-/// Adds a finding for each key of `object` that is not known, with a suggestion.
-void checkKeys(const Json& object, const DocumentLocation& place, const std::vector<std::string_view>& known,
+/// Adds a finding for each key of `object` that is not in `known`, with a suggestion if one is close.
+void checkKeys(const Json& object, const DocumentLocation& location, const std::vector<std::string_view>& known,
                Findings& findings);
 
-/// @return text in quotes, with control characters escaped, as findings show what was given.
+/// @return the text in quotes with control characters escaped, for use in findings.
 std::string quotedText(std::string_view text);
 
 }  // namespace shedlever
--- a/source/core/settings/settings_reference.h
+++ b/source/core/settings/settings_reference.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /// @file
-/// The settings reference, docs/SETTINGS.md, made from the field tables.
+/// Generates the settings reference, docs/SETTINGS.md, from the field tables.
 
 #include <string>
 
 namespace shedlever {
 
-/// @return the whole page as Markdown.
+/// @return the complete page as Markdown.
 std::string settingsReference();
 
 }  // namespace shedlever
--- a/source/core/settings/settings_routes.cc
+++ b/source/core/settings/settings_routes.cc
@@ -40,7 +40,7 @@
   for (const auto& [name, service] : settings.services) {
     config.routes.push_back(routeOf(service));
     config.services.emplace(name, serviceOf(service));
-    // The listener's limits hold for all services; those of a service are checked once it is known.
+    // The listener does not know the service yet, so it applies the largest limits; those of the service follow later.
     config.limits.header_bytes = std::max<std::size_t>(config.limits.header_bytes, service.header_limit);
     config.limits.body_bytes = std::max<std::size_t>(config.limits.body_bytes, service.body_limit);
   }
--- a/source/core/settings/settings_tree.cc
+++ b/source/core/settings/settings_tree.cc
@@ -8,7 +8,7 @@
 
 namespace {
 
-/// Reads parsed documents from the root of the tree to its leaves; each child starts as a copy of its parent.
+/// Reads parsed documents level by level; the settings of each level start as a copy of the level above.
 class TreeReader {
  public:
   TreeReader(const ParsedDocuments& documents, Findings& findings) : documents_(documents), findings_(findings) {}
@@ -30,39 +30,39 @@
   }
 
  private:
-  /// @return what every service inherits.
+  /// @return the values that every service inherits.
   ServiceSettings readDeployment() {
-    const DocumentLocation place(kDeploymentDocument);
-    checkKeys(documents_.deployment, place, {kChangeKey, kServiceDefaultsKey}, findings_);
+    const DocumentLocation location(kDeploymentDocument);
+    checkKeys(documents_.deployment, location, {kChangeKey, kServiceDefaultsKey}, findings_);
     ServiceSettings defaults;
     defaults.deployment_version = documents_.deployment_version;
-    if (const Json* object = childObject(documents_.deployment, place, kServiceDefaultsKey)) {
-      readDefaults(*object, place.child(kServiceDefaultsKey), defaults);
+    if (const Json* object = childObject(documents_.deployment, location, kServiceDefaultsKey)) {
+      readDefaults(*object, location.child(kServiceDefaultsKey), defaults);
     }
     return defaults;
   }
 
-  void readDefaults(const Json& object, const DocumentLocation& place, ServiceSettings& defaults) {
+  void readDefaults(const Json& object, const DocumentLocation& location, ServiceSettings& defaults) {
     std::vector<std::string_view> known = serviceKeys();
     for (const FieldRow<ServiceSettings>& row : serviceFields()) {
       if (row.scope == FieldScope::ServiceOnly) {
         std::erase(known, row.name);
       }
     }
-    checkKeys(object, place, known, findings_);
-    readServiceValues(object, place, defaults);
+    checkKeys(object, location, known, findings_);
+    readServiceValues(object, location, defaults);
     defaults.path_prefix.clear();
   }
 
   void readServiceDocument(const Json& object, ServiceSettings& service) {
-    const DocumentLocation place(serviceDocumentName(service.name).value);
+    const DocumentLocation location(serviceDocumentName(service.name).value);
     std::vector<std::string_view> known = serviceKeys();
     known.emplace_back(kChangeKey);
     known.emplace_back(kBackendsKey);
-    checkKeys(object, place, known, findings_);
-    readServiceValues(object, place, service);
-    if (const Json* backends = childObject(object, place, kBackendsKey)) {
-      readBackends(*backends, place.child(kBackendsKey), service);
+    checkKeys(object, location, known, findings_);
+    readServiceValues(object, location, service);
+    if (const Json* backends = childObject(object, location, kBackendsKey)) {
+      readBackends(*backends, location.child(kBackendsKey), service);
     }
   }
 
@@ -73,75 +73,75 @@
     return keys;
   }
 
-  void readServiceValues(const Json& object, const DocumentLocation& place, ServiceSettings& service) {
-    readFields(object, place, serviceFields(), service, findings_);
+  void readServiceValues(const Json& object, const DocumentLocation& location, ServiceSettings& service) {
+    readFields(object, location, serviceFields(), service, findings_);
     visitServiceGroups([&](std::string_view name, auto member, auto rows) {
-      if (const Json* group = childObject(object, place, name)) {
-        readGroup(*group, place.child(name), rows, service.*member);
+      if (const Json* group = childObject(object, location, name)) {
+        readGroup(*group, location.child(name), rows, service.*member);
       }
     });
-    readTenants(object, place, service);
+    readTenants(object, location, service);
   }
 
   template <class Owner>
-  void readGroup(const Json& object, const DocumentLocation& place, FieldRows<Owner> rows, Owner& owner) {
-    checkKeys(object, place, fieldNames(rows), findings_);
-    readFields(object, place, rows, owner, findings_);
+  void readGroup(const Json& object, const DocumentLocation& location, FieldRows<Owner> rows, Owner& owner) {
+    checkKeys(object, location, fieldNames(rows), findings_);
+    readFields(object, location, rows, owner, findings_);
   }
 
-  void readBackends(const Json& object, const DocumentLocation& place, ServiceSettings& service) {
+  void readBackends(const Json& object, const DocumentLocation& location, ServiceSettings& service) {
     for (const auto& [name, value] : object.items()) {
       if (!matchesRule(name, TextRule::Name)) {
         const std::string rule = describeType(FieldLimits{0, 0, TextRule::Name}, std::string());
-        findings_.add(place.child(name).text(), "is not the name of a back end: it must be " + rule + ".");
+        findings_.add(location.child(name).text(), "is not the name of a back end: it must be " + rule + ".");
         continue;
       }
-      if (const Json* backend = childObject(object, place, name)) {
+      if (const Json* backend = childObject(object, location, name)) {
         BackendSettings& settings = service.backend_overrides[NodeName(name)];
         settings = service.backend;
-        readGroup(*backend, place.child(name), backendFields(), settings);
+        readGroup(*backend, location.child(name), backendFields(), settings);
       }
     }
   }
 
-  /// A list of tenants is inherited or given as a whole.
-  void readTenants(const Json& object, const DocumentLocation& place, ServiceSettings& service) {
+  /// A list of tenants replaces an inherited list completely.
+  void readTenants(const Json& object, const DocumentLocation& location, ServiceSettings& service) {
     const auto list = object.find(kTenantsKey);
     if (list == object.end()) {
       return;
     }
-    const DocumentLocation list_place = place.child(kTenantsKey);
+    const DocumentLocation list_location = location.child(kTenantsKey);
     if (!list->is_array()) {
-      findings_.add(list_place.text(), std::string("must be a list of tenants, not ") + list->type_name() + ".");
+      findings_.add(list_location.text(), std::string("must be a list of tenants, not ") + list->type_name() + ".");
       return;
     }
     service.tenants.clear();
     for (std::size_t i = 0; i < list->size(); ++i) {
-      readTenant((*list)[i], list_place.child(i), service.tenants.emplace_back());
+      readTenant((*list)[i], list_location.child(i), service.tenants.emplace_back());
     }
   }
 
-  void readTenant(const Json& object, const DocumentLocation& place, TenantSettings& tenant) {
+  void readTenant(const Json& object, const DocumentLocation& location, TenantSettings& tenant) {
     if (!object.is_object()) {
-      findings_.add(place.text(), std::string("must be an object, not ") + object.type_name() + ".");
+      findings_.add(location.text(), std::string("must be an object, not ") + object.type_name() + ".");
       return;
     }
-    readGroup(object, place, tenantFields(), tenant);
+    readGroup(object, location, tenantFields(), tenant);
     for (const char* required : {"name", "credential_sha256"}) {
       if (!object.contains(required)) {
-        findings_.add(place.child(required).text(), "is required.");
+        findings_.add(location.child(required).text(), "is required.");
       }
     }
   }
 
-  /// @return the object under `key`; null when it is absent or, with a finding, no object.
-  const Json* childObject(const Json& object, const DocumentLocation& place, std::string_view key) {
+  /// @return the object under `key`; null if it is missing, or, with a finding, if the value is not an object.
+  const Json* childObject(const Json& object, const DocumentLocation& location, std::string_view key) {
     const auto found = object.find(key);
     if (found == object.end()) {
       return nullptr;
     }
     if (!found->is_object()) {
-      findings_.add(place.child(key).text(), std::string("must be an object, not ") + found->type_name() + ".");
+      findings_.add(location.child(key).text(), std::string("must be an object, not ") + found->type_name() + ".");
       return nullptr;
     }
     return &*found;
--- a/source/core/settings/settings_tree.h
+++ b/source/core/settings/settings_tree.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// From settings documents to effective settings: deployment, then service, then back end. A child
-/// inherits each value that it does not give itself.
+/// Resolves settings documents into effective settings on three levels: deployment, service and back end. Each level
+/// inherits the values that it does not set from the level above.
 
 #include <map>
 #include <string>
@@ -13,9 +13,9 @@
 
 namespace shedlever {
 
-/// Where an effective value comes from, for `config get --effective`.
+/// An effective value and its source, for `config get --effective`.
 struct ValueSource {
-  /// JSON pointer below the service, e.g. "/backend/slots".
+  /// JSON pointer relative to the service, e.g. "/backend/slots".
   std::string path;
   /// The value as JSON text.
   std::string value;
@@ -23,17 +23,18 @@
   std::string source;
 };
 
-/// Names in the platform's store.
+/// Names of settings objects and of the documents in them.
 inline constexpr const char* kSettingsPrefix = "settings/";
 inline constexpr const char* kDeploymentDocument = "deployment";
 inline constexpr const char* kServiceDocumentPrefix = "services/";
 
-/// Resolves and checks a whole set of documents.
-/// @param documents by name; a missing "deployment" document means all defaults.
-/// @return the effective settings, or all Findings, each with the document and JSON pointer as its place.
+/// Resolves and checks all settings documents of a deployment.
+/// @param documents by name; without a "deployment" document, all inherited values are defaults.
+/// @return the effective settings, or all Findings, each located by document and JSON pointer.
 leaf::result<DeploymentSettings> resolveSettings(const std::map<DocumentName, SettingsDocument>& documents);
 
-/// @return every value of one service with its source.
+/// @return every value of one service with its source, or Findings if the documents are invalid or the service is
+/// missing.
 leaf::result<std::vector<ValueSource>> explainSettings(const std::map<DocumentName, SettingsDocument>& documents,
                                                        const ServiceName& service);
 
--- a/source/core/settings/settings_value.cc
+++ b/source/core/settings/settings_value.cc
@@ -15,7 +15,7 @@
 constexpr std::size_t kSha256Digits = 64;
 constexpr double kMicrosecondsPerMs = 1000.0;
 
-/// @return the number without needless zeros, e.g. "0.1", "450", "86400000".
+/// @return the number without trailing zeros, e.g. "0.1", "450", "86400000".
 std::string numberText(double number) {
   std::ostringstream text;
   text.precision(12);
@@ -31,13 +31,13 @@
   return std::isfinite(number) && number >= limits.minimum && number <= limits.maximum;
 }
 
-std::string mismatchMessage(const std::string& right, const Json& given) {
+std::string mismatchMessage(const std::string& expected, const Json& given) {
   constexpr std::size_t kMaxShownLength = 60;
-  std::string shown = given.dump(-1, ' ', false, Json::error_handler_t::replace);
-  if (shown.size() > kMaxShownLength) {
-    shown = std::string("a long ") + given.type_name();
+  std::string text = given.dump(-1, ' ', false, Json::error_handler_t::replace);
+  if (text.size() > kMaxShownLength) {
+    text = std::string("a long ") + given.type_name();
   }
-  return "must be " + right + ", not " + shown + ".";
+  return "must be " + expected + ", not " + text + ".";
 }
 
 bool isLowerAlphanumeric(char character) {
@@ -170,9 +170,9 @@
 Json writeValue(double value) { return value; }
 
 Json writeValue(Duration value) {
-  const auto whole = std::chrono::duration_cast<std::chrono::milliseconds>(value);
-  if (whole == value) {
-    return whole.count();
+  const auto milliseconds = std::chrono::duration_cast<std::chrono::milliseconds>(value);
+  if (milliseconds == value) {
+    return milliseconds.count();
   }
   return static_cast<double>(value.count()) / kMicrosecondsPerMs;
 }
--- a/source/core/settings/settings_write.cc
+++ b/source/core/settings/settings_write.cc
@@ -8,11 +8,11 @@
 
 namespace {
 
-/// What the chain of versions says of a write that replaces `expected`.
+/// What the chain of versions shows about a write that replaces version `expected`.
 enum class ChainStatus : std::uint8_t {
   Written,     ///< the change is in the chain
   NotWritten,  ///< all versions after `expected` are known and none is the change
-  Incomplete,  ///< a version between is not known: stale reads, or the history no longer reaches back
+  Incomplete,  ///< a version in between is unknown: stale reads, or the history does not reach back far enough
 };
 
 /// Document and history as last read.
@@ -25,7 +25,7 @@
 
 struct ChainSearch {
   ChainStatus status = ChainStatus::Incomplete;
-  /// With Written: the version that the change made.
+  /// For Written: the version that the change created.
   SettingsVersion version = 0;
 };
 
@@ -43,19 +43,19 @@
     if (change.base_version == expected) {
       return {ChainStatus::NotWritten, 0};
     }
-    const HistoryVersion* earlier = state.history.find(change.base_version);
-    if (earlier == nullptr || change.base_version < expected || change.base_version >= version) {
+    const HistoryVersion* previous = state.history.find(change.base_version);
+    if (previous == nullptr || change.base_version < expected || change.base_version >= version) {
       return {ChainStatus::Incomplete, 0};
     }
-    version = earlier->version;
-    change = earlier->change;
+    version = previous->version;
+    change = previous->change;
   }
   return {ChainStatus::NotWritten, 0};
 }
 
 }  // namespace
 
-/// Alternates between reading (document, then history) and one step of writing, until the outcome is proved.
+/// Reads the document, then its history, then either finishes or performs one write, until the outcome is certain.
 class SettingsWrite::Impl : public std::enable_shared_from_this<SettingsWrite::Impl> {
  public:
   Impl(SettingsWriteRequest request, ObjectStore& store, RetryTimer& timer, const SettingsWriteLimits& limits)
@@ -82,7 +82,7 @@
   std::string documentObject() const { return kSettingsPrefix + request_.document.value; }
   std::string historyObject() const { return kHistoryPrefix + request_.document.value; }
 
-  /// @return a callback that does nothing once the write is gone.
+  /// @return a callback that does nothing after the write was destroyed.
   template <class Result>
   std::function<void(const Result&)> weakCallback(void (Impl::*member)(const Result&)) {
     return [weak = weak_from_this(), member](const Result& result) {
@@ -97,11 +97,11 @@
   void onDocument(const ReadResult& result) {
     const ObjectVersion version = result.status == ReadStatus::Found ? result.object.version : 0;
     if (result.status == ReadStatus::Unavailable) {
-      retry("the store does not answer");
+      retry("the store does not respond");
       return;
     }
     if (version < min_document_version_) {
-      retry("the store shows an older version than the one that the change starts from");
+      retry("the store returned an older version than the one that the change is based on");
       return;
     }
     min_document_version_ = version;
@@ -113,14 +113,14 @@
   void onHistory(const ReadResult& result) {
     const ObjectVersion version = result.status == ReadStatus::Found ? result.object.version : 0;
     if (result.status == ReadStatus::Unavailable || version < min_history_version_) {
-      retry("the store does not tell the history");
+      retry("the document's history cannot be read");
       return;
     }
     min_history_version_ = version;
     std::optional<SettingsHistory> history =
         version == 0 ? SettingsHistory() : SettingsHistory::parse(result.object.value);
     if (!history) {
-      giveUp(historyObject() + " can't be understood");
+      giveUp(historyObject() + " is malformed");
       return;
     }
     state_.history_version = version;
@@ -128,7 +128,7 @@
     decide();
   }
 
-  /// Document and history are known: says the outcome, or makes the next step towards it.
+  /// Called when document and history are known: finishes, or performs the next step.
   void decide() {
     if (const std::optional<SettingsWriteOutcome> outcome = findAcceptedOutcome()) {
       finish(*outcome);
@@ -143,17 +143,17 @@
     }
   }
 
-  /// @return the outcome when the change is found anywhere.
+  /// @return the outcome if the change is found in the document or in the history.
   std::optional<SettingsWriteOutcome> findAcceptedOutcome() const {
     if (state_.change.id == request_.change.id) {
       return accepted(state_.document.version, state_.change.base_version);
     }
-    // The history also holds versions that were about to be replaced; each of them was stored.
-    const HistoryVersion* own = state_.history.findChange(request_.change.id);
-    if (own == nullptr) {
+    // A version is recorded before it is replaced, so each version in the history was stored.
+    const HistoryVersion* recorded = state_.history.findChange(request_.change.id);
+    if (recorded == nullptr) {
       return std::nullopt;
     }
-    return accepted(own->version, own->change.base_version);
+    return accepted(recorded->version, recorded->change.base_version);
   }
 
   static SettingsWriteOutcome accepted(SettingsVersion version, SettingsVersion base_version) {
@@ -169,7 +169,7 @@
     if (search.status == ChainStatus::NotWritten && state_.document.version > expected_version_) {
       finishWithConflict();
     } else {
-      retry("the versions between are not all known");
+      retry("a version between the stored one and the replaced one is unknown");
     }
   }
 
@@ -204,7 +204,7 @@
     if (result.status == WriteStatus::Conflict) {
       min_history_version_ = std::max(min_history_version_, result.version);
     }
-    retry("the history can't be written");
+    retry("the document's history cannot be written");
   }
 
   void putDocument() {
@@ -223,7 +223,7 @@
     if (result.status == WriteStatus::Conflict) {
       min_document_version_ = std::max(min_document_version_, result.version);
     }
-    retry("the answer to the write was lost");
+    retry("the response to the write was lost");
   }
 
   void retry(const char* reason) {
@@ -239,13 +239,13 @@
     retry_delay_ = std::min(2 * retry_delay_, limits_.max_delay);
   }
 
-  /// Until a write was sent, nothing can have been written.
+  /// The outcome is only unknown if a write of the document was sent.
   void giveUp(const std::string& reason) {
     const SettingsWriteStatus status = put_sent_ ? SettingsWriteStatus::Unknown : SettingsWriteStatus::NotAccepted;
     finish({.status = status, .message = reason});
   }
 
-  /// @return the version that the operator started from, if its text is known.
+  /// @return the version that the operator started from; null if its text is not in the history.
   const HistoryVersion* findBaseVersion() const {
     if (put_sent_) {
       return state_.history.find(expected_version_);
@@ -271,13 +271,13 @@
 
   std::string conflictMessage(const SettingsConflict& conflict) const {
     if (conflict.current_version == 0) {
-      return "the document does not exist any more";
+      return "the document no longer exists";
     }
     if (!put_sent_ && !request_.base_version && base_change_.id.empty()) {
-      return "the document exists, and the file does not say from which version it was made; "
+      return "the document exists, and the file does not say which version it is based on; "
              "start from `config get`, or give --base VERSION";
     }
-    return "the document was changed meanwhile";
+    return "the document was changed in the meantime";
   }
 
   void finish(const SettingsWriteOutcome& outcome) {
@@ -293,12 +293,12 @@
   RetryTimer& timer_;
   const SettingsWriteLimits limits_;
   Duration retry_delay_;
-  /// A document read at less than this is stale.
+  /// A read that returns a lower version is stale.
   ObjectVersion min_document_version_;
   std::uint32_t attempts_ = 0;
   StoredState state_;
   ObjectVersion min_history_version_ = 0;
-  /// Version that the write replaces; meaningful once a write was sent.
+  /// Version that the write replaces; valid once `put_sent_` is true.
   SettingsVersion expected_version_ = 0;
   bool put_sent_ = false;
   std::function<void(const SettingsWriteOutcome&)> done_;
--- a/source/core/settings/settings_write.h
+++ b/source/core/settings/settings_write.h
@@ -1,13 +1,12 @@
 #pragma once
 
 /// @file
-/// Writes one settings document so that no operator's work is lost and the outcome is told as proved.
+/// Writes one settings document without overwriting another operator's change, and determines the outcome.
 ///
-/// The write replaces exactly the version that the operator started from. Before it, that version is
-/// recorded in the document's history. When an answer is lost, the writer reads document and history again
-/// and looks for its change id; since every replaced version is in the history, the chain of versions tells
-/// whether the write was made. While the document is still at the old version a write may be on its way, so
-/// it is sent again and never called off.
+/// The write replaces exactly the version that the operator started from, after that version was recorded in the
+/// document's history. After a lost response the writer reads document and history again and looks for its change id:
+/// since every replaced version is in the history, the chain of versions shows whether the write succeeded. While the
+/// document is still at the old version, an earlier write may still arrive, so the write is repeated, not abandoned.
 
 #include <functional>
 #include <memory>
@@ -22,60 +21,61 @@
 
 namespace shedlever {
 
-/// Runs something later; lets cores wait without a clock of their own.
+/// Runs a callback after a delay; injected, so that code without access to a clock can wait.
 class RetryTimer {
  public:
   virtual ~RetryTimer() = default;
   virtual void runAfter(Duration delay, std::function<void()> callback) = 0;
 };
 
-/// What is to be written.
+/// A document to be written.
 struct SettingsWriteRequest {
   DocumentName document;
-  /// A JSON object. A change that it carries names the version that the operator started from.
+  /// A JSON object. Change metadata in it identifies the version that the operator started from.
   std::string text;
-  /// The version that the operator started from, if given otherwise; goes before the text's change.
+  /// The version that the operator started from, if given explicitly; takes precedence over the change in `text`.
   std::optional<SettingsVersion> base_version;
-  /// id, author and time of the new change; `base_version` is filled in.
+  /// Id, author and time of the new change; its `base_version` is set by the writer.
   ChangeInfo change;
 };
 
 enum class SettingsWriteStatus : std::uint8_t {
-  Accepted,     ///< written as `version`; may have been replaced by a later one since
-  Unchanged,    ///< the stored document says the same already; nothing was written
-  Conflict,     ///< proved not written: the document is not what the operator started from
-  NotAccepted,  ///< proved not written for another reason; `message` says which
+  Accepted,     ///< written as `version`, which may have been replaced since
+  Unchanged,    ///< the stored document already has this content; nothing was written
+  Conflict,     ///< not written: the stored version is not the one that the operator started from
+  NotAccepted,  ///< not written for another reason, given in `message`
   Unknown,      ///< it may or may not have been written
 };
 
-/// What another operator did meanwhile.
+/// The concurrent change of another operator.
 struct SettingsConflict {
-  /// The stored version and who made it; 0 when the document does not exist.
+  /// Stored version; 0 if the document does not exist.
   SettingsVersion current_version = 0;
   ChangeInfo current_change;
-  /// Version that the operator started from; 0 when that is not known.
+  /// Version that the operator started from; 0 if unknown.
   SettingsVersion base_version = 0;
-  /// Changes since the operator's version; against the operator's text when that version is not known.
+  /// Differences of the stored version from `base_version`; from the operator's text if `base_version` is unknown.
   std::vector<JsonDifference> theirs;
-  /// The operator's own changes; empty when the version is not known.
+  /// Differences of the operator's text from `base_version`; empty if `base_version` is unknown.
   std::vector<JsonDifference> ours;
 };
 
 struct SettingsWriteOutcome {
   SettingsWriteStatus status = SettingsWriteStatus::Unknown;
   SettingsVersion version = 0;
-  /// With Accepted: the version that was replaced; 0 when there was none.
+  /// For Accepted: the version that was replaced; 0 if the document was created.
   SettingsVersion base_version = 0;
+  /// Reason, for Conflict, NotAccepted and Unknown.
   std::string message = {};
-  /// With Conflict.
+  /// Set for Conflict.
   std::optional<SettingsConflict> conflict = std::nullopt;
 };
 
-/// How long the writer goes on.
+/// Limits and backoff of the writer.
 struct SettingsWriteLimits {
-  /// Rounds of reading and writing before it gives up.
+  /// Rounds of reading and writing before the writer gives up.
   std::uint32_t max_attempts = 20;
-  /// Wait after a failed round, doubled each time up to the longest.
+  /// Delay after a failed round, doubled each time up to `max_delay`.
   Duration initial_delay = std::chrono::milliseconds(50);
   Duration max_delay = std::chrono::seconds(2);
 };
@@ -83,7 +83,7 @@
 /// One write of one document.
 class SettingsWrite {
  public:
-  /// @param store, timer outlive the write.
+  /// @param store, timer must outlive the write.
   SettingsWrite(SettingsWriteRequest request, ObjectStore& store, RetryTimer& timer, SettingsWriteLimits limits = {});
   ~SettingsWrite();
   SettingsWrite(const SettingsWrite&) = delete;
--- a/test/core_settings/settings_samples.h
+++ b/test/core_settings/settings_samples.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Sample documents and small helpers for tests of settings.
+/// Helpers for tests of settings documents.
 
 #include <map>
 #include <string>
@@ -14,7 +14,7 @@
 
 using Documents = std::map<DocumentName, SettingsDocument>;
 
-/// Text of each document by its name.
+/// Text of each document by document name.
 using DocumentTexts = std::map<std::string, std::string>;
 
 /// @return the documents, all with the same version.
@@ -26,7 +26,7 @@
   return documents;
 }
 
-/// @return what is wrong with the documents; empty when they resolve.
+/// @return the findings of the documents; empty if they resolve.
 inline Findings findingsOf(const Documents& documents) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<Findings> {
@@ -39,7 +39,7 @@
       });
 }
 
-/// @return the effective settings; an empty deployment when there are findings, which fails the caller's checks.
+/// @return the effective settings; an empty deployment if there are findings.
 inline DeploymentSettings resolved(const Documents& documents) {
   return leaf::try_handle_all([&] { return resolveSettings(documents); }, [] { return DeploymentSettings{}; });
 }
--- a/test/core_settings/settings_tree_test.cc
+++ b/test/core_settings/settings_tree_test.cc
@@ -13,7 +13,7 @@
 
 const std::string kSha(64, 'a');
 
-/// One kind of finding: documents with the fault, and where and with which words it must be reported.
+/// Invalid documents, and the location and a part of the message of each expected finding.
 struct FaultCase {
   const char* name;
   DocumentTexts documents;
@@ -26,8 +26,8 @@
   return R"({"name":")" + name + R"(","credential_sha256":")" + sha + R"("})";
 }
 
-/// Faults of one value or one place.
-std::vector<FaultCase> singleFaults() {
+/// Invalid values, keys and documents.
+std::vector<FaultCase> invalidValueCases() {
   return {
       {"malformed", {{"deployment", "{\n  \"service\": {,}\n}"}}, {{"deployment:2:15", "is not valid JSON"}}},
       {"not an object", {{"services/a", "[1]"}}, {{"services/a#", "must be a JSON object, not array"}}},
@@ -70,14 +70,14 @@
   };
 }
 
-/// Values that don't agree with one another.
-std::vector<FaultCase> jointFaults() {
+/// Values that contradict each other.
+std::vector<FaultCase> inconsistentValueCases() {
   return {
       {"no path prefix", {{"services/a", "{}"}}, {{"services/a#/path_prefix", "is required"}}},
       {"overlapping prefixes",
        {{"services/a", R"({"path_prefix":"/a/"})"}, {"services/b", R"({"path_prefix":"/a/b/"})"}},
        {{"services/b#/path_prefix", "overlaps with \"/a/\" of services/a"}}},
-      {"once only and repeatable, inherited",
+      {"at most once and repeatable, inherited",
        {{"deployment", R"({"service":{"once_only":true}})"},
         {"services/a", R"({"path_prefix":"/a/","repeatable":true})"}},
        {{"deployment#/service/once_only", "excludes \"repeatable\""}}},
@@ -87,7 +87,7 @@
       {"key header",
        {{"services/a", R"({"path_prefix":"/a/","key_source":"header"})"}},
        {{"services/a#/key_header", "is required"}}},
-      {"latency objective, inherited",
+      {"target latency, inherited",
        {{"deployment", R"({"service":{"target_latency_ms":90000}})"}, {"services/a", R"({"path_prefix":"/a/"})"}},
        {{"deployment#/service/target_latency_ms", "longest_deadline_ms"}}},
       {"health path",
@@ -108,11 +108,11 @@
   };
 }
 
-/// Every kind of fault is found, at its place, and nothing else is.
-TEST(SettingsTree, FindsEachFaultAtItsPlace) {
-  std::vector<FaultCase> cases = singleFaults();
-  const std::vector<FaultCase> joint = jointFaults();
-  cases.insert(cases.end(), joint.begin(), joint.end());
+/// Each kind of fault must be reported at its location, without further findings.
+TEST(SettingsTree, ReportsEachFaultAtItsLocation) {
+  std::vector<FaultCase> cases = invalidValueCases();
+  const std::vector<FaultCase> inconsistent = inconsistentValueCases();
+  cases.insert(cases.end(), inconsistent.begin(), inconsistent.end());
   for (const FaultCase& fault : cases) {
     SCOPED_TRACE(fault.name);
     const Findings findings = findingsOf(makeDocuments(fault.documents));
@@ -128,13 +128,13 @@
   }
 }
 
-TEST(SettingsTree, NoDocumentsMeanDefaults) {
+TEST(SettingsTree, NoDocumentsResolveToEmptyDeployment) {
   const DeploymentSettings settings = resolved({});
   EXPECT_EQ(settings.version, 0U);
   EXPECT_TRUE(settings.services.empty());
 }
 
-/// Values of one setting at each level of the tree; nothing where the level does not give it.
+/// Value of one setting at each level; nothing if the level does not set it.
 struct Levels {
   std::optional<std::uint32_t> deployment;
   std::optional<std::uint32_t> service;
@@ -160,13 +160,13 @@
   return "absent";
 }
 
-std::optional<std::uint32_t> pickSlots() {
+std::optional<std::uint32_t> arbitrarySlots() {
   const rc::Maybe<std::uint32_t> slots = *rc::gen::maybe(rc::gen::inRange<std::uint32_t>(1, 130));
   return slots ? std::optional<std::uint32_t>(*slots) : std::nullopt;
 }
 
-RC_GTEST_PROP(SettingsTree, EffectiveValueIsTheNearestGiven, ()) {
-  const Levels levels{pickSlots(), pickSlots(), pickSlots()};
+RC_GTEST_PROP(SettingsTree, EffectiveValueIsFromLowestLevelThatSetsIt, ()) {
+  const Levels levels{arbitrarySlots(), arbitrarySlots(), arbitrarySlots()};
   const Documents documents = documentsWith(levels);
   const DeploymentSettings settings = resolved(documents);
   RC_ASSERT(settings.services.size() == 1U);
@@ -183,7 +183,7 @@
   RC_ASSERT(valueAt(values, "/backends/b/slots") == std::to_string(at_backend) + " " + backend_source);
 }
 
-RC_GTEST_PROP(SettingsTree, EffectiveSettingsResolveToThemselves, ()) {
+RC_GTEST_PROP(SettingsTree, EffectiveSettingsAsDocumentResolveToThemselves, ()) {
   const std::uint32_t slots = *rc::gen::inRange<std::uint32_t>(1, 130);
   const std::uint32_t microseconds = *rc::gen::inRange<std::uint32_t>(10000, 50000000);
   const std::string milliseconds =
@@ -195,13 +195,13 @@
   RC_ASSERT(settings.services.size() == 1U);
   const ServiceSettings& service = settings.services.at(ServiceName("a"));
   RC_ASSERT(service.target_latency == Duration(microseconds));
-  const std::string once = effectiveService(service).dump();
-  const DeploymentSettings again = resolved(makeDocuments({{"services/a", once}}));
-  RC_ASSERT(again.services.size() == 1U);
-  RC_ASSERT(effectiveService(again.services.at(ServiceName("a"))).dump() == once);
+  const std::string effective = effectiveService(service).dump();
+  const DeploymentSettings resolved_again = resolved(makeDocuments({{"services/a", effective}}));
+  RC_ASSERT(resolved_again.services.size() == 1U);
+  RC_ASSERT(effectiveService(resolved_again.services.at(ServiceName("a"))).dump() == effective);
 }
 
-/// Any JSON, and any text at all, gives settings or findings; it never ends the process.
+/// @return any JSON value, with keys that settings documents use.
 Json arbitraryJson(int depth) {
   const int kind = *rc::gen::inRange(0, depth > 0 ? 7 : 5);
   switch (kind) {
@@ -231,13 +231,14 @@
   return json;
 }
 
-RC_GTEST_PROP(SettingsTree, AnyDocumentGivesSettingsOrFindings, ()) {
+// Guards against inputs that crash the process or raise another error.
+RC_GTEST_PROP(SettingsTree, ArbitraryDocumentResolvesOrHasFindings, ()) {
   const std::string text = arbitraryJson(4).dump(-1, ' ', false, Json::error_handler_t::replace);
-  const std::string cut = text.substr(0, *rc::gen::inRange<std::size_t>(0, text.size() + 1));
-  findingsOf(makeDocuments({{"deployment", text}, {"services/a", text}, {"services/b", cut}}));
+  const std::string truncated = text.substr(0, *rc::gen::inRange<std::size_t>(0, text.size() + 1));
+  findingsOf(makeDocuments({{"deployment", text}, {"services/a", text}, {"services/b", truncated}}));
 }
 
-TEST(SettingsTree, DeepNestingIsAFinding) {
+TEST(SettingsTree, TooDeepNestingIsReported) {
   const int depth = 200000;
   std::string text = R"({"cell":)" + std::string(depth, '[') + std::string(depth, ']') + "}";
   const Findings findings = findingsOf(makeDocuments({{"deployment", text}}));
