--- a/source/interface/caller_reply.cc
+++ b/source/interface/caller_reply.cc
@@ -83,7 +83,7 @@
   addHeader(response, "Shedlever-Retry-After-Ms", std::to_string(std::chrono::ceil<milliseconds>(retry_after).count()));
 }
 
-/// A gateway's error would say that the request may have run.
+/// A request that was not run gets 503 in place of 502, since 502 implies that it may have run.
 int statusOf(const Refusal& refusal) {
   constexpr int kBadGateway = 502;
   constexpr int kServiceUnavailable = 503;
@@ -131,8 +131,8 @@
   if (refusal.reason == Reason::Unauthenticated) {
     addHeader(response, "WWW-Authenticate", "Bearer");
   }
-  const bool is_told = refusal.retry_after > Duration::zero();
-  const Duration wait = is_told ? refusal.retry_after : defaultRetryAfter(refusal.reason);
+  const bool has_retry_after = refusal.retry_after > Duration::zero();
+  const Duration wait = has_retry_after ? refusal.retry_after : defaultRetryAfter(refusal.reason);
   if (refusal.outcome == Outcome::NotRun && wait > Duration::zero()) {
     addRetryAfter(response, wait);
   }
@@ -140,10 +140,10 @@
   return response;
 }
 
-void completeResponse(HttpResponse& answer, const RequestId& id) {
-  filterResponseHeaders(answer.headers);
-  addHeader(answer, "Shedlever-Outcome", std::string(toString(Outcome::Answered)));
-  addHeader(answer, "Shedlever-Request-Id", id.value);
+void completeResponse(HttpResponse& response, const RequestId& id) {
+  filterResponseHeaders(response.headers);
+  addHeader(response, "Shedlever-Outcome", std::string(toString(Outcome::Answered)));
+  addHeader(response, "Shedlever-Request-Id", id.value);
 }
 
 }  // namespace shedlever
--- a/source/interface/caller_reply.h
+++ b/source/interface/caller_reply.h
@@ -1,20 +1,21 @@
 #pragma once
 
 /// @file
-/// What goes back to the caller: headers of the product, and the body of refusals.
+/// Responses to the client: product headers, and the body of refusals.
 
 #include "shedlever/platform_ports.h"
 
 namespace shedlever {
 
-/// @return when a refused request is worth another try, where nobody knows better; zero when it never is.
+/// @return delay before a refused request should be retried, if no better estimate exists; zero if it should not.
 Duration defaultRetryAfter(Reason reason);
 
-/// @return status, product headers and a JSON body `{"outcome","reason","message","request_id"}`. Only
-/// what was not run carries `Retry-After`.
+/// @return a response with product headers and the JSON body `{"outcome","reason","message","request_id"}`. It has a
+/// `Retry-After` header only if the request was not run and may be retried.
 HttpResponse refusalResponse(const Refusal& refusal);
 
-/// Makes the server's answer the caller's: status and body stay, headers are filtered and completed.
-void completeResponse(HttpResponse& answer, const RequestId& id);
+/// Turns a server's response into the response to the client: keeps status and body, filters the headers and adds those
+/// of the product.
+void completeResponse(HttpResponse& response, const RequestId& id);
 
 }  // namespace shedlever
--- a/source/interface/credentials.h
+++ b/source/interface/credentials.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// From a bearer credential to the tenant of one service. Only digests of credentials are kept.
+/// Finds the tenant that a bearer credential belongs to. Only digests of credentials are stored.
 
 #include <optional>
 #include <string_view>
@@ -12,13 +12,13 @@
 
 namespace shedlever {
 
-/// @return the credential of `Authorization: Bearer CREDENTIAL`; nothing when the header is missing,
-/// given twice, empty or of another scheme.
+/// @return the credential of `Authorization: Bearer CREDENTIAL`; nothing if the header is missing,
+/// duplicated, empty or uses another scheme.
 std::optional<std::string_view> bearerCredential(const std::vector<HttpHeader>& headers);
 
-/// Compares with every tenant in a time that does not depend on how much of a digest fits. A tenant whose
-/// `credential_sha256` is not 64 hexadecimal digits can't be reached by any credential.
-/// @return the tenant with that credential; null when there is none.
+/// Compares the digest with that of every tenant in constant time per tenant. A tenant whose `credential_sha256` is not
+/// 64 hexadecimal digits matches no credential.
+/// @return the tenant with this credential; null if there is none.
 const TenantSettings* findTenant(std::string_view credential, const std::vector<TenantSettings>& tenants);
 
 }  // namespace shedlever
--- a/source/interface/header_rules.cc
+++ b/source/interface/header_rules.cc
@@ -13,32 +13,32 @@
 constexpr std::string_view kProductPrefix = "shedlever-";
 constexpr std::string_view kConnection = "connection";
 
-/// Of one connection only. Bodies are passed on whole, so the next hop writes its own length.
+/// Headers of one connection only. Bodies are forwarded complete, so each hop sets its own `Content-Length`.
 constexpr std::array<std::string_view, 11> kHopByHopHeaders = {
     kConnection, "keep-alive", "proxy-authenticate", "proxy-authorization", "proxy-connection", "te",
     "trailer",   "upgrade",    "transfer-encoding",  "content-length",      "expect",
 };
 
-/// Meant for the router alone.
+/// Request headers that are meant for the router only.
 constexpr std::array<std::string_view, 2> kRouterOnlyHeaders = {"authorization", "host"};
 
-/// One bit for each length that occurs: most headers are told apart by their length alone.
+/// @return one bit per length of a name, to exclude most headers without comparing text. Names have less than 64 bytes.
 template <std::size_t kSize>
 constexpr std::uint64_t lengthMask(const std::array<std::string_view, kSize>& names) {
-  std::uint64_t lengths = 0;
+  std::uint64_t mask = 0;
   for (const std::string_view name : names) {
-    lengths |= std::uint64_t{1} << name.size();
+    mask |= std::uint64_t{1} << name.size();
   }
-  return lengths;
+  return mask;
 }
 
 constexpr std::uint64_t kHopByHopLengthMask = lengthMask(kHopByHopHeaders);
 constexpr std::uint64_t kRouterOnlyLengthMask = lengthMask(kRouterOnlyHeaders);
 
 template <std::size_t kSize>
-bool containsName(const std::array<std::string_view, kSize>& names, std::uint64_t lengths, std::string_view name) {
-  constexpr std::size_t kLengths = 64;
-  if (name.size() >= kLengths || (lengths >> name.size() & 1U) == 0) {
+bool containsName(const std::array<std::string_view, kSize>& names, std::uint64_t mask, std::string_view name) {
+  constexpr std::size_t kMaskBits = 64;
+  if (name.size() >= kMaskBits || (mask >> name.size() & 1U) == 0) {
     return false;
   }
   return std::any_of(names.begin(), names.end(),
@@ -70,7 +70,7 @@
   }
 }
 
-/// Headers that `Connection` declares to be of this hop.
+/// @return the headers that `Connection` declares to be hop-by-hop.
 std::vector<std::string> connectionHeaderNames(const std::vector<HttpHeader>& headers) {
   std::vector<std::string> names;
   for (const HttpHeader& header : headers) {
@@ -81,14 +81,14 @@
   return names;
 }
 
-template <class Drops>
-void removeHeaders(std::vector<HttpHeader>& headers, Drops drops) {
-  const std::vector<std::string> named = connectionHeaderNames(headers);
+template <class Predicate>
+void removeHeaders(std::vector<HttpHeader>& headers, Predicate should_remove) {
+  const std::vector<std::string> connection_names = connectionHeaderNames(headers);
   std::erase_if(headers, [&](const HttpHeader& header) {
-    if (containsName(kHopByHopHeaders, kHopByHopLengthMask, header.name) || drops(header.name)) {
+    if (containsName(kHopByHopHeaders, kHopByHopLengthMask, header.name) || should_remove(header.name)) {
       return true;
     }
-    return std::any_of(named.begin(), named.end(),
+    return std::any_of(connection_names.begin(), connection_names.end(),
                        [&](const std::string& name) { return equalsIgnoringCase(name, header.name); });
   });
 }
--- a/source/interface/header_rules.h
+++ b/source/interface/header_rules.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Which HTTP headers pass a gateway. Hop-by-hop headers (RFC 9110 section 7.6.1) belong to one
-/// connection; the product's own headers are never taken from the other side.
+/// Filters the HTTP headers that a gateway forwards. Hop-by-hop headers (RFC 9110 section 7.6.1) apply to one
+/// connection only; the product's own headers are never accepted from clients or servers.
 
 #include <string_view>
 #include <vector>
@@ -11,22 +11,22 @@
 
 namespace shedlever {
 
-/// How often a header occurs, and its first value.
+/// Number of occurrences of a header, and its first value.
 struct HeaderLookup {
   std::uint32_t count = 0;
-  /// Points into the headers searched.
+  /// View into the searched headers; valid as long as they are.
   std::string_view value;
 };
 
-/// @param name in any case.
+/// @param name compared without regard to case.
 HeaderLookup lookUpHeader(const std::vector<HttpHeader>& headers, std::string_view name);
 
-/// Drops what must not reach the server: hop-by-hop headers, the credential, and the product's own headers. Those that
-/// only the router may set towards servers are replaced by `ServerProtocol::dress`, so that no client can forge them.
+/// Removes headers that must not reach the server: hop-by-hop headers, `Authorization`, `Host` and the product's own
+/// headers. Headers that only the router may set are replaced by `ServerProtocol::dress`, so clients cannot forge them.
 void filterRequestHeaders(std::vector<HttpHeader>& headers);
 
-/// Drops what must not reach the caller: hop-by-hop headers and anything that begins with `Shedlever-`,
-/// so that no server can forge an outcome.
+/// Removes headers that must not reach the client: hop-by-hop headers and all that begin with `Shedlever-`, so servers
+/// cannot forge an outcome.
 void filterResponseHeaders(std::vector<HttpHeader>& headers);
 
 }  // namespace shedlever
--- a/source/interface/request_target.cc
+++ b/source/interface/request_target.cc
@@ -10,22 +10,22 @@
 
 namespace {
 
-/// ": " and the line's end, as a header counts on the wire.
+/// Bytes per header for ": " and the line end.
 constexpr std::size_t kHeaderOverhead = 4;
 constexpr int kHexBase = 16;
 constexpr int kNoDigit = -1;
 constexpr std::size_t kEscapeLength = 3;
 
-int hexDigit(char letter) {
-  if (letter >= '0' && letter <= '9') {
-    return letter - '0';
+int hexDigit(char character) {
+  if (character >= '0' && character <= '9') {
+    return character - '0';
   }
   constexpr int kTen = 10;
-  if (letter >= 'a' && letter <= 'f') {
-    return letter - 'a' + kTen;
+  if (character >= 'a' && character <= 'f') {
+    return character - 'a' + kTen;
   }
-  if (letter >= 'A' && letter <= 'F') {
-    return letter - 'A' + kTen;
+  if (character >= 'A' && character <= 'F') {
+    return character - 'A' + kTen;
   }
   return kNoDigit;
 }
@@ -35,8 +35,8 @@
 bool hasForbiddenByte(std::string_view target) {
   constexpr unsigned char kSpace = 0x20;
   constexpr unsigned char kDelete = 0x7f;
-  return std::any_of(target.begin(), target.end(), [](char letter) {
-    const auto byte = static_cast<unsigned char>(letter);
+  return std::any_of(target.begin(), target.end(), [](char character) {
+    const auto byte = static_cast<unsigned char>(character);
     return byte <= kSpace || byte == kDelete;
   });
 }
@@ -53,7 +53,7 @@
   return false;
 }
 
-/// The segment after the service's prefix.
+/// @return the path segment after the service's prefix.
 std::string_view keySegment(const ServiceSettings& settings, std::string_view target) {
   std::string_view rest = pathOf(target);
   rest.remove_prefix(std::min(settings.path_prefix.size(), rest.size()));
@@ -123,7 +123,7 @@
     return keyFromSegment(keySegment(settings, request.target));
   }
   const HeaderLookup header = lookUpHeader(request.headers, settings.key_header);
-  // Two headers could name two owners; which one the server would take is not known here.
+  // With two headers it is unknown which one the server would use.
   if (header.count != 1 || header.value.empty()) {
     return std::nullopt;
   }
--- a/source/interface/request_target.h
+++ b/source/interface/request_target.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A client's target: whether it is safe to pass on, the key in it, and the service's limits.
+/// Checks of a client's request target and limits, and the request's key.
 
 #include <optional>
 #include <string>
@@ -14,20 +14,21 @@
 
 namespace shedlever {
 
-/// @return the text with each `%XX` replaced by its byte; nothing if one is malformed.
+/// @return the text with each `%XX` replaced by the byte; nothing if an escape is malformed.
 std::optional<std::string> percentDecoded(std::string_view text);
 
-/// A target is refused when it holds blanks or control bytes, does not begin with a slash, or has a path
-/// segment "." or ".." (also when percent-encoded): such a path could reach the server's own control calls.
+/// @return false if the target contains spaces or control bytes, does not begin with a slash, has a malformed escape in
+/// its path, or has a path segment "." or ".." (also percent-encoded), which could reach the server's control
+/// endpoints.
 bool isSafeTarget(std::string_view target);
 
-/// @return where a key given as text lies among a service's keys.
+/// @return position in the key space of a key given as text: the upper 16 bits of its hash.
 Key keyFromText(std::string_view text);
 
-/// @return the request's key; nothing when it is missing, empty, malformed or ambiguous.
+/// @return the request's key; nothing if it is missing, empty, malformed or ambiguous.
 std::optional<Key> requestKey(const ServiceSettings& settings, const HttpRequest& request);
 
-/// @return TooLarge when body or headers (target included) exceed the service's limits; None otherwise.
+/// @return TooLarge if the body or the headers (including method and target) exceed the service's limits, else None.
 Reason checkLimits(const ServiceSettings& settings, const HttpRequest& request);
 
 }  // namespace shedlever
--- a/source/interface/settings_config_protocol.h
+++ b/source/interface/settings_config_protocol.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The product's own settings documents as they lie in the metadata store: one object a document.
+/// Decodes the product's own settings documents from the metadata store, where each document is one object.
 
 #include <optional>
 #include <string>
@@ -14,17 +14,17 @@
 /// Kind of the objects that hold settings documents.
 inline constexpr const char* kSettingsKind = "shedlever-settings";
 
-/// @return the object's name; a slash in a document's name can't stand in the store's paths.
+/// @return the object's name, with "." for "/", which paths of the store do not allow in names.
 std::string settingsObjectName(const DocumentName& document);
 
-/// @return the document's name; nothing when no document is named so.
+/// @return the document's name; nothing if the object is not a settings document.
 std::optional<DocumentName> documentNameFromObject(const std::string& object);
 
 class SettingsConfigProtocol final : public ConfigProtocol {
  public:
   std::string kind() const override { return kSettingsKind; }
   bool isPart(const std::string& name) const override;
-  /// The version is the highest revision of all parts.
+  /// The version of the configuration is the highest revision of its parts.
   leaf::result<RouterConfig> decode(const ObjectsByName& parts) const override;
 };
 
--- a/source/interface/shedlever_client_protocol.cc
+++ b/source/interface/shedlever_client_protocol.cc
@@ -21,7 +21,7 @@
   return info;
 }
 
-/// @return what the client says; nothing when it can't be understood.
+/// @return the deadline header, or the service's default if there is none; nothing if the header is malformed.
 std::optional<Duration> deadlineOf(const HttpRequest& request, const ServiceSettings& settings) {
   const HeaderLookup header = lookUpHeader(request.headers, kDeadlineHeader);
   if (header.count == 0) {
@@ -29,8 +29,8 @@
   }
   std::uint32_t milliseconds = 0;
   const char* const end = header.value.data() + header.value.size();
-  const auto [read_to, error] = std::from_chars(header.value.data(), end, milliseconds);
-  if (header.count > 1 || error != std::errc() || read_to != end) {
+  const auto [parsed_end, error] = std::from_chars(header.value.data(), end, milliseconds);
+  if (header.count > 1 || error != std::errc() || parsed_end != end) {
     return std::nullopt;
   }
   return std::chrono::milliseconds(milliseconds);
@@ -75,8 +75,8 @@
 
 HttpResponse ShedleverClientProtocol::refusal(const Refusal& refusal) const { return refusalResponse(refusal); }
 
-void ShedleverClientProtocol::complete(HttpResponse& answer, const RequestId& id) const {
-  completeResponse(answer, id);
+void ShedleverClientProtocol::complete(HttpResponse& response, const RequestId& id) const {
+  completeResponse(response, id);
 }
 
 }  // namespace shedlever
--- a/test/interface/caller_reply_test.cc
+++ b/test/interface/caller_reply_test.cc
@@ -15,11 +15,11 @@
   return std::string(lookUpHeader(response.headers, name).value);
 }
 
-TEST(CallerReply, RefusalsSayWhyAndWhenToComeBack) {
+TEST(CallerReply, RefusalHasStatusReasonAndRetryAfter) {
   struct Row {
     Outcome outcome;
     Reason reason;
-    Duration told;
+    Duration retry_after;
     int status;
     const char* seconds;
     const char* milliseconds;
@@ -33,7 +33,7 @@
       {Outcome::Unknown, Reason::ConnectionLost, milliseconds(5), 502, "", ""},
   };
   for (const Row& row : rows) {
-    const HttpResponse response = refusalResponse({RequestId("g-1-1"), row.outcome, row.reason, row.told});
+    const HttpResponse response = refusalResponse({RequestId("g-1-1"), row.outcome, row.reason, row.retry_after});
     SCOPED_TRACE(toString(row.reason));
     EXPECT_EQ(response.status, row.status);
     EXPECT_EQ(headerOf(response, "Retry-After"), row.seconds);
@@ -52,20 +52,20 @@
       "Bearer");
 }
 
-TEST(CallerReply, AnswersPassWithoutForgedHeaders) {
-  HttpResponse answer;
-  answer.status = 418;
-  answer.headers = {{"Content-Type", "x"}, {"Shedlever-Outcome", "not-run"}, {"Connection", "close"}};
-  answer.body = "body";
-  completeResponse(answer, RequestId("g-1-1"));
-  EXPECT_EQ(answer.status, 418);
-  EXPECT_EQ(answer.body, "body");
-  EXPECT_EQ(lookUpHeader(answer.headers, "Shedlever-Outcome").count, 1U);
-  EXPECT_EQ(headerOf(answer, "Shedlever-Outcome"), "answered");
-  EXPECT_EQ(headerOf(answer, "Shedlever-Request-Id"), "g-1-1");
-  EXPECT_EQ(headerOf(answer, "Content-Type"), "x");
-  EXPECT_EQ(lookUpHeader(answer.headers, "Connection").count, 0U);
-  EXPECT_EQ(lookUpHeader(answer.headers, "Shedlever-Reason").count, 0U);
+TEST(CallerReply, ServerResponsePassesWithoutForgedHeaders) {
+  HttpResponse response;
+  response.status = 418;
+  response.headers = {{"Content-Type", "x"}, {"Shedlever-Outcome", "not-run"}, {"Connection", "close"}};
+  response.body = "body";
+  completeResponse(response, RequestId("g-1-1"));
+  EXPECT_EQ(response.status, 418);
+  EXPECT_EQ(response.body, "body");
+  EXPECT_EQ(lookUpHeader(response.headers, "Shedlever-Outcome").count, 1U);
+  EXPECT_EQ(headerOf(response, "Shedlever-Outcome"), "answered");
+  EXPECT_EQ(headerOf(response, "Shedlever-Request-Id"), "g-1-1");
+  EXPECT_EQ(headerOf(response, "Content-Type"), "x");
+  EXPECT_EQ(lookUpHeader(response.headers, "Connection").count, 0U);
+  EXPECT_EQ(lookUpHeader(response.headers, "Shedlever-Reason").count, 0U);
 }
 
 }  // namespace
--- a/test/interface/credentials_test.cc
+++ b/test/interface/credentials_test.cc
@@ -12,11 +12,11 @@
   return tenant;
 }
 
-/// Of "alpha" and "beta", by sha256sum.
+/// SHA-256 of "alpha" and "beta".
 constexpr const char* kAlpha = "8ed3f6ad685b959ead7022518e1af76cd816f8e8ec7ccdda1ed4018e8f2223f8";
 constexpr const char* kBeta = "f44e64e75f3948e9f73f8dfa94721c4ce8cbb4f265c4790c702b2d41cfbf2753";
 
-TEST(Credentials, BearerCredentialOfOneHeaderOnly) {
+TEST(Credentials, BearerCredentialRequiresExactlyOneValidHeader) {
   struct Row {
     std::vector<HttpHeader> headers;
     std::optional<std::string_view> credential;
@@ -35,17 +35,17 @@
   }
 }
 
-RC_GTEST_PROP(Credentials, OnlyTheWholeCredentialNamesItsTenant, (const std::string& guess)) {
+RC_GTEST_PROP(Credentials, TenantIsFoundOnlyByItsExactCredential, (const std::string& guess)) {
   const std::vector<TenantSettings> tenants = {tenantWithDigest(kAlpha), tenantWithDigest("abcd"), tenantWithDigest(""),
                                                tenantWithDigest(kBeta), tenantWithDigest(std::string(64, 'g'))};
   RC_ASSERT(findTenant("alpha", tenants) == &tenants[0]);
   RC_ASSERT(findTenant("beta", tenants) == &tenants[3]);
   RC_ASSERT(findTenant(guess, tenants) == nullptr);
-  // A digest that differs in one digit belongs to nobody.
-  std::string near_miss = kAlpha;
-  char& digit = near_miss[*rc::gen::inRange<std::size_t>(0, near_miss.size())];
+  // A digest that differs in one digit must not match.
+  std::string altered = kAlpha;
+  char& digit = altered[*rc::gen::inRange<std::size_t>(0, altered.size())];
   digit = digit == '0' ? '1' : '0';
-  RC_ASSERT(findTenant("alpha", {tenantWithDigest(near_miss)}) == nullptr);
+  RC_ASSERT(findTenant("alpha", {tenantWithDigest(altered)}) == nullptr);
 }
 
 }  // namespace
--- a/test/interface/request_target_test.cc
+++ b/test/interface/request_target_test.cc
@@ -7,7 +7,7 @@
 namespace shedlever {
 namespace {
 
-TEST(RequestTarget, KeyIsTheDecodedSegmentOrTheHeader) {
+TEST(RequestTarget, KeyIsTheDecodedPathSegmentOrTheHeader) {
   struct Row {
     const char* name;
     const char* prefix;
@@ -19,11 +19,11 @@
   const Row rows[] = {
       {"segment", "/t/", KeySource::Path, "/t/user7/rest", {}, "user7"},
       {"last segment", "/t/", KeySource::Path, "/t/user7", {}, "user7"},
-      {"query is no key", "/t/", KeySource::Path, "/t/user7?a=b/c", {}, "user7"},
+      {"query is not part of the key", "/t/", KeySource::Path, "/t/user7?a=b/c", {}, "user7"},
       {"prefix without slash", "/t", KeySource::Path, "/t/user7", {}, "user7"},
       {"decoded", "/t/", KeySource::Path, "/t/a%2Fb%20c%e2", {}, "a/b c\xe2"},
-      {"plus stays", "/t/", KeySource::Path, "/t/a+b", {}, "a+b"},
-      {"cut escape", "/t/", KeySource::Path, "/t/ab%2", {}, std::nullopt},
+      {"plus is not decoded", "/t/", KeySource::Path, "/t/a+b", {}, "a+b"},
+      {"truncated escape", "/t/", KeySource::Path, "/t/ab%2", {}, std::nullopt},
       {"no hex digits", "/t/", KeySource::Path, "/t/ab%zz", {}, std::nullopt},
       {"empty", "/t/", KeySource::Path, "/t/", {}, std::nullopt},
       {"empty before slash", "/t/", KeySource::Path, "/t//x", {}, std::nullopt},
@@ -42,7 +42,7 @@
   }
 }
 
-TEST(RequestTarget, TargetsThatCouldLeaveWorkAreUnsafe) {
+TEST(RequestTarget, TargetsThatCouldLeaveTheServicePathAreUnsafe) {
   for (const char* const safe : {"/t/a", "/t/a.b/..c/d..", "/t/...", "/t/a?x=/../y", "/t/%41%2eb"}) {
     EXPECT_TRUE(isSafeTarget(safe)) << safe;
   }
@@ -53,7 +53,7 @@
   }
 }
 
-TEST(RequestTarget, LimitsCountBodyAndHeaders) {
+TEST(RequestTarget, LimitsApplyToBodyAndHeaders) {
   ServiceSettings settings;
   settings.body_limit = 10;
   settings.header_limit = 20;
@@ -72,7 +72,7 @@
   return names;
 }
 
-TEST(HeaderRules, OnlyEndToEndHeadersPassAndNoneAreForged) {
+TEST(HeaderRules, OnlyEndToEndHeadersWithoutForgeriesPass) {
   std::vector<HttpHeader> request = {
       {"Accept", "x"},
       {"AUTHORIZATION", "Bearer x"},
--- a/test/interface/shedlever_client_protocol_test.cc
+++ b/test/interface/shedlever_client_protocol_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The product's own interface: what clients may say, what is refused, and what servers get to see of it.
+/// The product's own client interface: reading requests, refusals, and the headers that servers receive.
 
 #include "source/interface/shedlever_client_protocol.h"
 
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-/// SHA-256 of "alpha", by sha256sum.
+/// The tenant's credential is "alpha"; the document contains its SHA-256.
 const char* const kDocument = R"({"path_prefix":"/a/","divided_by_key":true,"once_only":true,"default_deadline_ms":700,
   "longest_deadline_ms":9000,"target_latency_ms":300,"priority":2,"body_limit":10,
   "backends":{"node-1":{"slots":3}},"retry":{"attempts":2},
@@ -38,7 +38,7 @@
       configOf({{"services.s", {"services.s", 7, kDocument}}, {"deployment", {"deployment", 4, "{}"}}});
 };
 
-TEST_F(ShedleverInterfaceTest, DocumentsBecomeRoutes) {
+TEST_F(ShedleverInterfaceTest, DocumentsAreDecodedIntoRoutes) {
   EXPECT_EQ(config_.version, 7U);
   const Route& route = config_.routes.at(0);
   EXPECT_EQ(route.path_prefix, "/a/");
@@ -53,7 +53,7 @@
   EXPECT_EQ(service.settings->backend_overrides.at(NodeName("node-1")).slots, 3U);
 }
 
-TEST_F(ShedleverInterfaceTest, DocumentsWithFindingsAreNoConfiguration) {
+TEST_F(ShedleverInterfaceTest, DocumentsWithFindingsAreRejected) {
   const SettingsConfigProtocol protocol;
   const ObjectsByName parts = {{"services.s", {"services.s", 1, R"({"path_prefix":"a"})"}}};
   const bool decoded = leaf::try_handle_all(
@@ -71,7 +71,7 @@
   EXPECT_TRUE(protocol.isPart("deployment"));
 }
 
-TEST_F(ShedleverInterfaceTest, RequestTellsTenantKeyAndTime) {
+TEST_F(ShedleverInterfaceTest, ReadsTenantKeyAndDeadline) {
   const ClientRequestInfo info =
       read({"POST",
             "/a/key-1/rest?x=1",
@@ -92,17 +92,19 @@
   Reason reason;
 };
 
-TEST_F(ShedleverInterfaceTest, RefusesWhatCantBeServedRightly) {
+TEST_F(ShedleverInterfaceTest, RefusesInvalidRequestsWithReason) {
   const HttpHeader credential{"Authorization", "Bearer alpha"};
   const HttpHeader once{"Idempotency-Key", "k"};
   const std::vector<RefusalRow> rows = {
-      {"right", {"POST", "/a/k", {credential, once}, {}}, Reason::None},
+      {"valid", {"POST", "/a/k", {credential, once}, {}}, Reason::None},
       {"no credential", {"POST", "/a/k", {once}, {}}, Reason::Unauthenticated},
-      {"another's credential", {"POST", "/a/k", {{"Authorization", "Bearer beta"}, once}, {}}, Reason::Unauthenticated},
+      {"credential of no tenant",
+       {"POST", "/a/k", {{"Authorization", "Bearer beta"}, once}, {}},
+       Reason::Unauthenticated},
       {"no idempotency key", {"POST", "/a/k", {credential}, {}}, Reason::MissingIdempotencyKey},
       {"two idempotency keys", {"POST", "/a/k", {credential, once, once}, {}}, Reason::BadRequest},
       {"no key", {"POST", "/a/", {credential, once}, {}}, Reason::BadRequest},
-      {"time that is no number",
+      {"deadline is not a number",
        {"POST", "/a/k", {credential, once, {"Shedlever-Deadline", "1s"}}, {}},
        Reason::BadRequest},
       {"path that leaves its prefix", {"POST", "/a/../grant", {credential, once}, {}}, Reason::BadRequest},
@@ -112,7 +114,7 @@
   }
 }
 
-TEST_F(ShedleverInterfaceTest, ServersDontSeeCredentials) {
+TEST_F(ShedleverInterfaceTest, CredentialIsNotForwardedToServers) {
   HttpRequest request{"POST",
                       "/a/k",
                       {{"Authorization", "Bearer alpha"}, {"Shedlever-Deadline", "1"}, {"Accept", "x"}, {"Host", "h"}},
@@ -122,10 +124,10 @@
   EXPECT_EQ(request.headers.at(0).name, "Accept");
 }
 
-TEST_F(ShedleverInterfaceTest, UnsentRequestOnABrokenConnectionIsNoGatewayError) {
-  const HttpResponse answer = protocol_.refusal({RequestId("r"), Outcome::NotRun, Reason::ConnectionLost, {}});
-  EXPECT_EQ(answer.status, 503);
-  EXPECT_EQ(headerValue(answer.headers, "Shedlever-Outcome"), "not-run");
+TEST_F(ShedleverInterfaceTest, UnsentRequestOnBrokenConnectionGets503) {
+  const HttpResponse response = protocol_.refusal({RequestId("r"), Outcome::NotRun, Reason::ConnectionLost, {}});
+  EXPECT_EQ(response.status, 503);
+  EXPECT_EQ(headerValue(response.headers, "Shedlever-Outcome"), "not-run");
 }
 
 }  // namespace
