--- a/source/core/settings/settings_write.cc
+++ b/source/core/settings/settings_write.cc
@@ -72,7 +72,7 @@
   void start(std::function<void(const SettingsWriteOutcome&)> done) {
     done_ = std::move(done);
     if (content_.is_null()) {
-      finish({.status = SettingsWriteStatus::NotAccepted, .message = "the text is no JSON object"});
+      finish({.status = SettingsWriteStatus::NotAccepted, .message = "the text is not a JSON object"});
       return;
     }
     readDocument();
--- a/source/interface/header_rules.h
+++ b/source/interface/header_rules.h
@@ -2,7 +2,7 @@
 
 /// @file
 /// Filters the HTTP headers that a gateway forwards. Hop-by-hop headers (RFC 9110 section 7.6.1) apply to one
-/// connection only; the product's own headers are never accepted from clients or servers.
+/// connection only; the product's own headers are never forwarded.
 
 #include <string_view>
 #include <vector>
