--- a/include/shedlever/errors.h
+++ b/include/shedlever/errors.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Errors. Functions that can fail return boost::leaf::result; checks of input collect findings and
-/// report them all together, each with its place.
+/// Error types. Functions that can fail return boost::leaf::result; input validation collects all findings and reports
+/// them together, each with its location.
 
 #include <boost/leaf.hpp>
 #include <string>
@@ -13,17 +13,17 @@
 
 namespace leaf = boost::leaf;
 
-/// One thing wrong with some input.
+/// One problem found in some input.
 struct Finding {
-  /// Where: "file.conf:12", "--lease-ms", "services/talash#/backend/slots".
+  /// For example "file.conf:12", "--lease-ms", "services/talash#/backend/slots".
   std::string location;
-  /// What is wrong and what would be right, one sentence.
+  /// One sentence that says what is wrong and what would be valid.
   std::string message;
 
   auto operator<=>(const Finding&) const = default;
 };
 
-/// All findings of one check. An error object of its own: `leaf::new_error(Findings{...})`.
+/// All findings of one validation. Used as an error object: `leaf::new_error(Findings{...})`.
 struct Findings {
   std::vector<Finding> list;
 
@@ -32,14 +32,14 @@
   void append(const Findings& other) { list.insert(list.end(), other.list.begin(), other.list.end()); }
 };
 
-/// @return one line a finding: "place: message\n".
+/// @return one line per finding: "location: message\n".
 std::string toString(const Findings& findings);
 
 /// An operation on a socket or the event loop failed.
 struct NetworkError {
-  /// What was tried, e.g. "bind 127.0.0.1:7001".
+  /// The attempted operation, e.g. "bind 127.0.0.1:7001".
   std::string operation;
-  /// errno, 0 when the failure has none.
+  /// errno; 0 if the failure has none.
   int error_number = 0;
 };
 
--- a/include/shedlever/http_messages.h
+++ b/include/shedlever/http_messages.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// HTTP messages as the router passes them on.
+/// HTTP messages as the router forwards them.
 
 #include <string>
 #include <vector>
@@ -18,7 +18,7 @@
   }
 };
 
-/// A client's request as passed on to the server.
+/// A client's request as forwarded to a server.
 struct HttpRequest {
   std::string method;
   /// Path and query.
@@ -31,7 +31,7 @@
   }
 };
 
-/// The server's answer.
+/// A server's response.
 struct HttpResponse {
   int status = 0;
   std::vector<HttpHeader> headers;
--- a/include/shedlever/identifiers.h
+++ b/include/shedlever/identifiers.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Identifiers. Each is a type of its own, so that a tenant can't be passed where a service is due.
+/// Identifiers. Each is a distinct type, so that, for example, a tenant can't be passed where a service is expected.
 
 #include <compare>
 #include <cstdint>
@@ -11,7 +11,7 @@
 
 namespace shedlever {
 
-/// A name of one kind. @tparam Tag makes the kinds distinct.
+/// A string identifier. @tparam Tag makes the types distinct.
 template <class Tag>
 struct StrongName {
   std::string value;
@@ -28,23 +28,23 @@
   }
 };
 
-/// A service: a group of back ends that answer the same kind of request.
+/// A service: a group of back ends that handle the same kind of request.
 using ServiceName = StrongName<struct ServiceNameTag>;
-/// A group of callers whose traffic is kept apart from that of others.
+/// A group of callers whose traffic is isolated from that of other tenants.
 using TenantName = StrongName<struct TenantNameTag>;
-/// A failure domain inside a region.
+/// A failure domain within a region.
 using ZoneName = StrongName<struct ZoneNameTag>;
-/// One process of the system, by its configured name; stays the same over restarts.
+/// The configured name of a node; stays the same across restarts.
 using NodeName = StrongName<struct NodeNameTag>;
-/// Names one life of a server.
+/// Identifies one instance of a server, that is, one run of its process.
 using InstanceId = StrongName<struct InstanceIdTag>;
-/// Identifies one request from its arrival at a gateway; unique over all gateways.
+/// Identifies one request; unique across all gateways.
 using RequestId = StrongName<struct RequestIdTag>;
-/// The caller's key under which a once-only request runs at most once.
+/// The key, chosen by the caller, under which a request runs at most once.
 using IdempotencyKey = StrongName<struct IdempotencyKeyTag>;
 
-/// One life of a process: microseconds of wall-clock time at its start, made larger than any that the
-/// process could read before. A restarted process is never taken for the one before it.
+/// Identifies one run of a process: the wall-clock time of its start in microseconds, raised above any value that an
+/// earlier run could have read, so that a restarted process is never mistaken for its predecessor.
 struct Incarnation {
   std::uint64_t value = 0;
   auto operator<=>(const Incarnation&) const = default;
@@ -55,7 +55,7 @@
   }
 };
 
-/// One life of one process.
+/// One run of the process of a node.
 struct NodeIdentity {
   NodeName name;
   Incarnation incarnation;
@@ -67,7 +67,7 @@
   }
 };
 
-/// Where a process listens: an IP address (no host names) and a port.
+/// Address at which a process listens: an IP address (no host names) and a port.
 struct Endpoint {
   std::string address;
   std::uint16_t port = 0;
@@ -82,7 +82,7 @@
 /// @return "address:port".
 inline std::string toString(const Endpoint& endpoint) { return endpoint.address + ":" + std::to_string(endpoint.port); }
 
-/// @return "name/incarnation", as logs show a process.
+/// @return "name/incarnation", the form used in logs.
 inline std::string toString(const NodeIdentity& node) {
   return node.name.value + "/" + std::to_string(node.incarnation.value);
 }
--- a/include/shedlever/key_report.h
+++ b/include/shedlever/key_report.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /// @file
-/// Keys in a server's heartbeat and in its acknowledgement, for servers that take their keys that way: the heartbeat
-/// tells what the server holds and what it has let go of, the acknowledgement tells all that it is to hold.
+/// Key ranges in a server's heartbeat and its acknowledgement, for servers that receive their keys by heartbeat: the
+/// heartbeat reports the ranges that the server holds and has released; the acknowledgement lists all ranges that the
+/// server is to hold.
 
 #include <string>
 #include <vector>
@@ -12,43 +13,44 @@
 
 namespace shedlever {
 
-/// Keys that a server holds, or still works on after it was told to let go.
+/// Keys that a server holds, or is still processing requests for after it was told to release them.
 struct ReportedRange {
   Key first = 0;
-  Key last = 0;  ///< included
-  /// The token that it took them with.
+  Key last = 0;  ///< inclusive
+  /// The token with which the server acquired the keys.
   std::uint64_t token = 0;
 
   auto operator<=>(const ReportedRange&) const = default;
 };
 
-/// Keys that a server has let go of, all work on them ended.
+/// Keys that a server has released after the last request for them ended.
 struct ReleasedRange {
   Key first = 0;
-  Key last = 0;  ///< included
-  /// Spares the next holder a cold start.
+  Key last = 0;  ///< inclusive
+  /// Opaque state for the next holder of the keys, which saves it a cold start.
   std::string handover;
 };
 
-/// The part of a heartbeat that is about keys.
+/// The part of a heartbeat that concerns keys.
 struct KeyReport {
   std::vector<ReportedRange> held;
-  /// Since the last heartbeat whose acknowledgement the server has seen, so the same may come more than once.
+  /// Ranges released since the last heartbeat whose acknowledgement the server received. A range may be reported
+  /// several times.
   std::vector<ReleasedRange> released;
 };
 
 struct AssignedRange {
   Key first = 0;
-  Key last = 0;  ///< included
+  Key last = 0;  ///< inclusive
   std::uint64_t token = 0;
-  /// Of the last holder; empty when there is none, or the server holds the keys already.
+  /// State from the previous holder; empty if there is none or if the server already holds the keys.
   std::string handover;
 };
 
-/// All that a server is to hold; it lets go of everything else.
+/// All ranges that a server is to hold; the server releases every other range.
 struct KeyAssignment {
   std::vector<AssignedRange> ranges;
-  /// For how long, counted by the server from when it sent its heartbeat.
+  /// How long the assignment is valid, counted from the time at which the server sent its heartbeat.
   Duration hold_duration{};
 };
 
--- a/include/shedlever/metadata_store.h
+++ b/include/shedlever/metadata_store.h
@@ -1,9 +1,10 @@
 #pragma once
 
 /// @file
-/// The store of the platform that keeps what must outlast all processes: objects by kind and name, each with the
-/// revision of its last change. It is linearizable; a call without an answer may be carried out, even seconds later
-/// if its condition still holds. It may come back from a copy of an earlier state; its epoch rises then.
+/// Client interface of the platform's metadata store, which holds the state that must survive the failure of all
+/// processes: objects identified by kind and name, each with the revision of its last change. The store is
+/// linearizable. A call without a response may still be applied, even seconds later, if its condition then holds. The
+/// store may be restored from a backup, which increments its epoch.
 
 #include <cstdint>
 #include <functional>
@@ -23,34 +24,34 @@
 };
 
 enum class StoreStatus : std::uint8_t {
-  Done,      ///< carried out; `object` is the result
-  Absent,    ///< there is no such object; nothing was changed
-  Conflict,  ///< the condition did not hold, `object` is as it stands; nothing was changed
-  Refused,   ///< the store refused the call and did nothing; try again later
-  Unknown,   ///< no answer: it may have been carried out, or may be later
+  Done,      ///< the call was applied; `object` is the result
+  Absent,    ///< the object does not exist; nothing was changed
+  Conflict,  ///< the condition did not hold; `object` is the current object; nothing was changed
+  Refused,   ///< the store rejected the call and did nothing; it may be retried later
+  Unknown,   ///< no response: the call may have been applied, or may be applied later
 };
 
 struct StoreAnswer {
   StoreStatus status = StoreStatus::Unknown;
   MetadataObject object;
-  /// As told with the answer; 0: none was told.
+  /// The epoch reported with the response; 0 if none was reported.
   StoreEpoch epoch = 0;
 };
 
 struct StoreListing {
-  /// False when there was no answer; nothing is known then.
+  /// False if there was no response; the other members are then meaningless.
   bool available = false;
-  /// Revision from which a watch continues.
+  /// Revision of the list; a watch continues from here.
   StoreRevision revision;
   std::vector<MetadataObject> objects;
-  /// As told with the answer; 0: none was told.
+  /// The epoch reported with the response; 0 if none was reported.
   StoreEpoch epoch = 0;
 };
 
 enum class WatchStatus : std::uint8_t {
-  Events,       ///< zero or more changes, in order
-  HistoryGone,  ///< changes were missed: list anew
-  Unavailable,  ///< no answer
+  Events,       ///< zero or more changes in order
+  HistoryGone,  ///< changes were missed; the kind must be listed again
+  Unavailable,  ///< no response
 };
 
 struct MetadataEvent {
@@ -62,17 +63,17 @@
   WatchStatus status = WatchStatus::Unavailable;
   StoreRevision revision;
   std::vector<MetadataEvent> events;
-  /// As told with the answer; 0: none was told.
+  /// The epoch reported with the response; 0 if none was reported.
   StoreEpoch epoch = 0;
 };
 
-/// How new a list must be.
+/// Required consistency of a list.
 enum class ListFreshness : std::uint8_t {
-  Latest,      ///< all changes made before the call are in it
-  MayBeStale,  ///< it may be seconds old; costs the store a tenth
+  Latest,      ///< includes all changes made before the call
+  MayBeStale,  ///< may be seconds old; much cheaper for the store
 };
 
-/// Asynchronous client. Callbacks run from the event loop, once, never inside the call that started them.
+/// Asynchronous client. Each callback runs exactly once, from the event loop, never inside the call that registered it.
 class MetadataStore {
  public:
   virtual ~MetadataStore() = default;
@@ -82,17 +83,18 @@
 
   virtual void get(const std::string& kind, const std::string& name, AnswerCallback done) = 0;
   virtual void create(const std::string& kind, const MetadataObject& object, AnswerCallback done) = 0;
-  /// Replaces the value if the object still has `object.revision`; any revision if that is 0.
+  /// Replaces the value if the object still has `object.revision`, or unconditionally if that revision is 0.
   virtual void replace(const std::string& kind, const MetadataObject& object, AnswerCallback done) = 0;
-  /// Removes the object if it still has that revision.
+  /// Removes the object if it still has the given revision.
   virtual void remove(const std::string& kind, const std::string& name, StoreRevision revision,
                       AnswerCallback done) = 0;
   virtual void list(const std::string& kind, ListFreshness freshness, ListCallback done) = 0;
-  /// Waits once for changes of a kind after a revision, for `wait` at most.
+  /// Long poll: waits at most `wait` for changes of a kind after a revision.
   virtual void watch(const std::string& kind, StoreRevision after, Duration wait, WatchCallback done) = 0;
-  /// As `watch`, but answered at once, over a connection of its own: a watch that is not answered may have been lost.
+  /// As `watch`, but the store responds immediately and a separate connection is used: the connection of a watch may
+  /// have been lost without notice.
   virtual void check(const std::string& kind, StoreRevision after, WatchCallback done) = 0;
-  /// @return the latest epoch heard of; 0 while none was told.
+  /// @return the latest known epoch; 0 while none has been reported.
   virtual StoreEpoch epoch() const { return 0; }
 };
 
--- a/include/shedlever/object_store.h
+++ b/include/shedlever/object_store.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Named texts with versions, as operators' commands see the metadata store. It may be slow or down for long, and may
-/// apply a write whose answer is lost.
+/// The metadata store as operator commands use it: named, versioned text objects. The store may be slow or unavailable
+/// for long periods and may apply a write whose response is lost.
 
 #include <cstdint>
 #include <functional>
@@ -13,7 +13,7 @@
 
 namespace shedlever {
 
-/// Version of one object; 0 means "does not exist". Strictly growing over the whole store.
+/// Version of an object; 0 means "does not exist". Versions increase strictly across the whole store.
 using ObjectVersion = std::uint64_t;
 
 struct StoredObject {
@@ -22,11 +22,11 @@
   std::string value;
 };
 
-/// How a read ended.
+/// Result of a read.
 enum class ReadStatus : std::uint8_t {
   Found,
   Absent,
-  Unavailable,  ///< no answer in time, or an answer that can't be trusted; nothing is known
+  Unavailable,  ///< no response in time, or an invalid one; the object's state is unknown
 };
 
 struct ReadResult {
@@ -35,18 +35,18 @@
 };
 
 struct ListResult {
-  /// False when there was no answer; `objects` is then empty and means nothing.
+  /// False if there was no response; `objects` is then empty and meaningless.
   bool available = false;
   /// Store version that the list reflects.
   ObjectVersion version = 0;
   std::vector<StoredObject> objects;
 };
 
-/// How a conditional write ended.
+/// Result of a conditional write.
 enum class WriteStatus : std::uint8_t {
   Accepted,  ///< written; `version` is the new version
-  Conflict,  ///< not written by this call: the object has `version` (which may be an own earlier write)
-  Unknown,   ///< no answer: it may or may not have been written
+  Conflict,  ///< not written by this call; the object has `version`, possibly from an earlier write of this client
+  Unknown,   ///< no response: the value may or may not have been written
 };
 
 struct WriteResult {
@@ -54,20 +54,20 @@
   ObjectVersion version = 0;
 };
 
-/// Asynchronous client of the store. Callbacks run on the caller's event loop, exactly once, never
-/// inside the call that started them, and not after the client is destroyed.
+/// Asynchronous client of the store. Callbacks run on the caller's event loop, exactly once, never inside the call that
+/// registered them, and not after the client is destroyed.
 class ObjectStore {
  public:
   virtual ~ObjectStore() = default;
 
-  /// @param done is told the object, or that it is absent, or that nothing is known.
+  /// @param done receives the object, or that it is absent, or that its state is unknown.
   virtual void get(const std::string& name, std::function<void(const ReadResult&)> done) = 0;
 
-  /// Writes `value` if the object's version is `expected` (0: if it does not exist).
+  /// Writes `value` if the object's version is `expected`; 0 requires that the object does not exist.
   virtual void putIfVersion(const std::string& name, ObjectVersion expected, const std::string& value,
                             std::function<void(const WriteResult&)> done) = 0;
 
-  /// @param prefix names that begin with it are listed.
+  /// @param prefix objects whose names begin with it are listed.
   virtual void list(const std::string& prefix, std::function<void(const ListResult&)> done) = 0;
 };
 
--- a/include/shedlever/platform_ports.h
+++ b/include/shedlever/platform_ports.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// What the router needs to be told in others' words and to say in them: by clients, by servers, by the store that
-/// holds the configuration. Each adapter implements these; nothing else knows its names.
+/// Interfaces to the protocols of clients, servers and the metadata store. Each adapter implements them; only the
+/// adapter knows the header and field names of its protocol.
 
 #include <functional>
 #include <map>
@@ -22,11 +22,11 @@
 
 namespace shedlever {
 
-/// The connection that a call to the store goes over.
+/// Which connection a call to the store uses.
 enum class StoreConnection : std::uint8_t {
-  Reused,  ///< one that is kept for the next call
-  Watch,   ///< one that may be busy for long
-  New,     ///< a new one: kept ones may have gone silent without a sign
+  Reused,  ///< a keep-alive connection
+  Watch,   ///< a connection for long polls
+  New,     ///< a new connection, since an idle one may have been lost without notice
 };
 
 struct StoreCall {
@@ -35,92 +35,92 @@
   StoreConnection connection = StoreConnection::Reused;
 };
 
-/// Makes a call to the store; the answer is none when there was none.
+/// Sends a call to the store; `done` receives std::nullopt if there was no response.
 using StoreCaller = std::function<void(StoreCall call, std::function<void(std::optional<HttpResponse>)> done)>;
 
-/// An entry of that kind can't be read, and is left out of what the store tells.
+/// Called when an entry of the kind can't be decoded; the entry is omitted from the result.
 using UnreadableEntryCallback = std::function<void(const std::string& kind)>;
 
-/// @return the store over calls made by `caller`.
+/// @return a store client that sends its calls with `caller`.
 using StoreFactory =
     std::function<std::unique_ptr<MetadataStore>(StoreCaller caller, UnreadableEntryCallback on_unreadable)>;
 
-/// What a client's request says of itself.
+/// What the router reads from a client's request.
 struct ClientRequestInfo {
-  /// Why the request can't be taken; None if it can.
+  /// Why the request is refused; None if it is valid.
   Reason refusal = Reason::None;
-  /// How long the client will wait; none if it did not say.
+  /// How long the client will wait; std::nullopt if the request does not say.
   std::optional<Duration> time_left;
-  /// The key that the request is about, for services that are divided by key.
+  /// The key of the request, for services whose keys are divided among servers.
   std::optional<Key> key;
-  /// Whose request it is; no name where clients are not told apart.
+  /// Tenant of the request; its name is empty where tenants are not distinguished.
   TenantShare tenant;
-  /// Requests with the same one run once; empty: none.
+  /// Requests with the same key run at most once; empty if there is none.
   IdempotencyKey idempotency_key;
 };
 
-/// A request that is given up, as its client is to be told.
+/// Final response to a request that is not answered by a server.
 struct Refusal {
   RequestId id;
   /// NotRun or Unknown.
   Outcome outcome = Outcome::NotRun;
   Reason reason = Reason::None;
-  /// When to come back; zero when nothing is known.
+  /// Suggested delay before a retry; zero if unknown.
   Duration retry_after = Duration::zero();
 };
 
-/// How clients speak.
+/// The protocol of clients.
 class ClientProtocol {
  public:
   virtual ~ClientProtocol() = default;
 
-  /// @return the id that the client gave the request; empty if the router is to give it one.
+  /// @return the id that the client assigned to the request; empty if the router is to assign one.
   virtual RequestId requestIdOf(const HttpRequest& request) const = 0;
 
-  /// @param service that the request goes to; null when the configuration does not describe it.
+  /// @param service that the request is routed to; null if it is not in the configuration.
   virtual ClientRequestInfo readRequestInfo(const HttpRequest& request, const Route& route,
                                             const RoutedService* service) const = 0;
 
-  /// Takes out of a request what was meant for the router alone.
+  /// Removes the headers that are meant only for the router.
   virtual void removeRouterHeaders(HttpRequest& request) const = 0;
 
-  /// @return the final answer to a request that is given up.
+  /// @return the final response to a refused or failed request.
   virtual HttpResponse makeRefusalResponse(const Refusal& refusal) const = 0;
 
-  /// Makes a server's answer the client's.
+  /// Turns a server's response into the response for the client.
   virtual void finalizeResponse(HttpResponse& answer, const RequestId& id) const = 0;
 };
 
-/// How a server's whole answer is to be taken.
+/// Classification of a complete response from a server.
 enum class AnswerKind : std::uint8_t {
-  Answer,         ///< the server's own answer
-  NotRun,         ///< the server says that it has not run the request and never will
-  WrongInstance,  ///< as NotRun: another life of the server has the address
-  KeyNotHeld,     ///< as NotRun: the server does not hold the key
-  Broken,         ///< can't be the server's answer to this request
+  Answer,         ///< the server's response to the request
+  NotRun,         ///< the server has not run the request and never will
+  WrongInstance,  ///< as NotRun; another instance uses the address
+  KeyNotHeld,     ///< as NotRun; the server does not hold the key
+  Broken,         ///< not a valid response to this request
 };
 
-/// What a request tells its server beside what its client sent.
+/// Metadata that the router adds to a request for a server.
 struct ServerRequestMetadata {
   RequestId id;
-  /// The life of the server that is meant.
+  /// The server instance that the request is meant for.
   InstanceId instance;
-  /// What is left of the request's time.
+  /// Time left until the request's deadline.
   Duration remaining{};
-  /// Service of the machine where the request began.
+  /// Service of the node at whose gateway the request arrived.
   ServiceName caller;
   std::optional<Key> key;
 };
 
-/// How servers speak.
+/// The protocol of servers.
 class ServerProtocol {
  public:
   virtual ~ServerProtocol() = default;
 
-  /// Replaces the headers that only the router sets.
+  /// Replaces all headers that only the router may set.
   virtual void setRouterHeaders(HttpRequest& request, const ServerRequestMetadata& head) const = 0;
 
-  /// @param id of the request that the answer should belong to.
+  /// @param id of the request that the response must belong to.
   virtual AnswerKind classify(const HttpResponse& answer, const RequestId& id, const InstanceId& expected,
                               bool keyed) const = 0;
 
@@ -130,37 +130,37 @@
   virtual std::string handoverOf(const HttpResponse& answer) const = 0;
 
   virtual HttpRequest healthRequest(const std::string& path) const = 0;
-  /// @return the server that gave the answer; empty if it does not say.
+  /// @return the id of the server that responded; empty if the response does not contain it.
   virtual ServerId serverIdOf(const HttpResponse& answer) const = 0;
 };
 
-/// What a server reports about itself.
+/// A server's report about itself (heartbeat).
 struct ServerReport {
-  /// The life that reports.
+  /// The reporting instance.
   InstanceId instance;
-  /// When it started; none if it does not say.
+  /// Start time of the instance; std::nullopt if not reported.
   std::optional<ServerStartMs> start;
   ServiceName service;
   Endpoint address;
   std::uint32_t slots = 0;
   bool draining = false;
-  /// How much longer it is cold: slow, and able to bear but a few requests a second.
+  /// How much longer the server is cold, that is, slow and limited to a few requests per second.
   Duration cold_remaining = Duration::zero();
-  /// Its last report: it ends, at once or soon.
+  /// The last report: the server is shutting down.
   bool leaving = false;
-  /// Rises with each report of one life; none if it does not say.
+  /// Increases with each report of an instance; std::nullopt if not reported.
   std::optional<std::uint64_t> sequence;
-  /// For servers that take their keys by heartbeat; none if the report does not speak of keys.
+  /// For servers that receive their keys by heartbeat; std::nullopt if the report contains no key information.
   std::optional<KeyReport> keys;
 };
 
-/// Reports of servers, and the question whether this process is ready.
+/// The protocol of server reports and of the readiness probe.
 class ReportProtocol {
  public:
   virtual ~ReportProtocol() = default;
-  /// @return the report; none when the request is no report, or makes no sense.
+  /// @return the report; std::nullopt if the request is not a valid report.
   virtual std::optional<ServerReport> readReport(const HttpRequest& request) const = 0;
-  /// @param keys all that the server is to hold; null to say nothing of keys.
+  /// @param keys all ranges that the server is to hold; null to omit key information.
   virtual HttpResponse acknowledgement(const KeyAssignment* keys) const = 0;
   virtual bool isReadinessRequest(const HttpRequest& request) const = 0;
 };
@@ -168,21 +168,21 @@
 /// Objects of one kind by name.
 using ObjectsByName = std::map<std::string, MetadataObject>;
 
-/// Where operators' configuration lies in the metadata store, and how to read it.
+/// Location and format of the operators' configuration in the metadata store.
 class ConfigProtocol {
  public:
   virtual ~ConfigProtocol() = default;
   virtual std::string kind() const = 0;
-  /// @return whether the object of that name is a part of the configuration.
+  /// @return whether the object with that name is part of the configuration.
   virtual bool isConfigObject(const std::string& name) const = 0;
-  /// @return the kind of the objects that stand for evacuated zones, each under its zone's name; empty where operators
-  ///   can't evacuate a zone.
+  /// @return the kind of the objects that mark zones as evacuated, each named after its zone; empty if evacuation is
+  ///   not supported.
   virtual std::string evacuationKind() const { return {}; }
-  /// @param parts all parts known.
+  /// @param parts all known configuration objects.
   /// @return the configuration, or Findings.
   virtual leaf::result<RouterConfig> decode(const ObjectsByName& parts) const = 0;
-  /// @return whether operators count the versions, and write the newest again after the store has come back from a
-  ///   copy; false where the store's own revisions are the versions.
+  /// @return whether operators assign version numbers and rewrite the newest version after the store is restored from a
+  ///   backup; false if the store's revisions are the versions.
   virtual bool hasOperatorVersions() const { return false; }
 };
 
--- a/include/shedlever/request_fingerprint.h
+++ b/include/shedlever/request_fingerprint.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What makes two requests the same one asked again.
+/// Fingerprints that identify repetitions of the same request.
 
 #include <compare>
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace shedlever {
 
-/// 128 bits of a SHA-256 digest: nobody can make a request that is taken for another caller's.
+/// 128 bits of a SHA-256 digest, so that a caller can't construct a request that collides with another caller's.
 struct RequestFingerprint {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
--- a/include/shedlever/router_config.h
+++ b/include/shedlever/router_config.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// The routing configuration that operators write: routes, services and limits towards clients. One version holds
-/// all of it; versions only rise.
+/// The routing configuration written by operators: routes, services and limits for clients. One version number covers
+/// the whole configuration; versions only increase.
 
 #include <cstddef>
 #include <cstdint>
@@ -17,25 +17,25 @@
 
 namespace shedlever {
 
-/// What of a route's requests may be repeated.
+/// Whether requests of a route may be repeated.
 enum class RouteKind : std::uint8_t {
   Idempotent,  ///< may run any number of times
-  AtMostOnce,  ///< runs at most once for each attempt of a client
-  Download,    ///< idempotent, with large answers
+  AtMostOnce,  ///< runs at most once per attempt of the client
+  Download,    ///< idempotent, with large responses
 };
 
-/// @return whether a request of this kind may run again.
+/// @return whether a request of this kind may run more than once.
 inline bool isRepeatable(RouteKind kind) { return kind != RouteKind::AtMostOnce; }
 
-/// A service's part in a route.
+/// Share of a route's traffic that goes to a service.
 struct ServiceShare {
   ServiceName service;
   std::uint32_t weight = 1;
 };
 
-/// Longest time for which a request is held where the operator gives none.
+/// Request timeout of routes for which the operator sets none.
 inline constexpr Duration kDefaultRouteTimeout = std::chrono::seconds(30);
-/// Latency objective where the operator gives none.
+/// Latency objective of routes for which the operator sets none.
 inline constexpr Duration kDefaultTargetLatency = std::chrono::seconds(1);
 
 struct Route {
@@ -46,34 +46,34 @@
   std::string path_prefix;
   RouteKind kind = RouteKind::AtMostOnce;
   Duration timeout = kDefaultRouteTimeout;
-  /// Time within which an answer is worth most.
+  /// Latency objective.
   Duration target_latency = kDefaultTargetLatency;
-  /// 0 is the most urgent.
+  /// 0 is the highest priority.
   std::uint32_t priority = 0;
-  /// Most servers that one attempt of a client may be sent to.
+  /// Maximum number of servers that one attempt of a client is sent to.
   std::uint32_t max_attempts = 1;
   /// At least one.
   std::vector<ServiceShare> shares;
-  /// Whether each request must carry an idempotency key, under which it runs once.
+  /// Whether each request must have an idempotency key, under which it runs at most once.
   bool needs_idempotency_key = false;
 };
 
 struct RoutedService {
   ServiceName name;
   std::string health_path;
-  /// Connections that one server takes from all its callers together.
+  /// Maximum number of connections that one server accepts from all callers together.
   std::uint32_t max_connections = 1;
-  /// Whether each key is held by one server alone.
+  /// Whether each key is owned by exactly one server.
   bool divided_by_key = false;
-  /// A server that has just started, or has turned cold, stays so for so long ...
+  /// How long a server stays cold after it starts or becomes cold.
   Duration cold_time = Duration::zero();
-  /// ... and bears so many requests a second meanwhile; 0: as many as it has slots for.
+  /// Request rate limit of a cold server; 0: limited only by its slots.
   double cold_requests_per_second = 0;
-  /// What the product's own settings say of the service; null where they do not rule.
+  /// Settings of the service in the product's own format; null where another format is used.
   std::shared_ptr<const ServiceSettings> settings;
 };
 
-/// What a client may send, and how long it may take.
+/// Size limits and timeouts for client connections.
 struct ClientLimits {
   std::size_t header_bytes = 16U << 10U;
   std::size_t body_bytes = 64U << 20U;
--- a/include/shedlever/router_frames.h
+++ b/include/shedlever/router_frames.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Frames between router processes, over message streams. A frame arrives whole or not at all.
+/// Frames that router processes exchange over message streams. A frame arrives complete or not at all.
 
 #include <cstdint>
 #include <string>
@@ -17,20 +17,20 @@
 
 namespace shedlever {
 
-/// Names a request on its way between two processes; unique in one incarnation of the sender.
+/// Identifies a forwarded request between two processes; unique within one incarnation of the sender.
 using ExchangeId = std::uint64_t;
 
-/// Number of keys of a service that is divided by key.
+/// Number of keys of a service whose keys are divided among servers.
 inline constexpr std::uint32_t kKeyCount = 65536;
 using Key = std::uint16_t;
 
-/// A tenant's part in the queue of a server.
+/// A tenant's share of a server's queue.
 struct TenantShare {
-  /// Empty: tenants are not told apart.
+  /// Empty if tenants are not distinguished.
   TenantName name;
-  /// Share of the queue, relative to the other tenants.
+  /// Share relative to the other tenants.
   std::uint32_t weight = 1;
-  /// Requests of the tenant that may wait at one server; 0: no limit.
+  /// Maximum number of the tenant's requests that wait at one server; 0: no limit.
   std::uint32_t queue_limit = 0;
 
   template <class Archive>
@@ -39,24 +39,24 @@
   }
 };
 
-/// A request for the server beside the receiving process.
+/// A request for the server on the receiving process's node.
 struct ForwardFrame {
   ExchangeId exchange = 0;
   RequestId id;
   InstanceId instance;
-  /// Name of its route.
+  /// Name of the request's route.
   std::string route;
   RouteKind kind = RouteKind::AtMostOnce;
   std::uint32_t priority = 0;
   bool keyed = false;
   Key key = 0;
-  /// What is left of the request's time when the frame is sent.
+  /// Time left until the request's deadline when the frame is sent.
   Duration::rep remaining_us = 0;
   /// The route's latency objective.
   Duration::rep target_us = 0;
-  /// How long the request's gateway has had it when this is sent.
+  /// Time since the request arrived at its gateway when the frame is sent.
   Duration::rep elapsed_us = 0;
-  /// The service of the machine where the request began.
+  /// Service of the node at whose gateway the request arrived.
   ServiceName caller;
   TenantShare tenant;
   HttpRequest http;
@@ -68,55 +68,55 @@
   }
 };
 
-/// What became of a forwarded request.
+/// Outcome of a forwarded request.
 enum class ForwardOutcome : std::uint8_t {
-  Answered,  ///< `http` is the server's whole answer
-  NotRun,    ///< proved: the server has not run it and never will
-  Unknown,   ///< it may have run
+  Answered,  ///< `http` is the server's complete response
+  NotRun,    ///< certain: the server has not run the request and never will
+  Unknown,   ///< the request may have run
 };
 
 enum class ForwardReason : std::uint8_t {
   None,
   Overloaded,      ///< the queue is too long
-  QueueFull,       ///< as many of the tenant's requests wait as may
-  WrongInstance,   ///< another life of the server, or none
-  NotOwner,        ///< the key is not held here
-  NotYetOwner,     ///< the key comes here, its grant is under way
-  Draining,        ///< the server is leaving
-  ServerRefused,   ///< the server said that it did not run it
-  ServerDown,      ///< the server can't be reached
-  ConnectionLost,  ///< the connection to the server or to its process broke
-  BrokenAnswer,    ///< the server's answer was cut short or made no sense
+  QueueFull,       ///< the tenant's queue limit is reached
+  WrongInstance,   ///< another instance of the server is running, or none
+  NotOwner,        ///< the server does not hold the key
+  NotYetOwner,     ///< the key is being transferred to the server
+  Draining,        ///< the server is draining
+  ServerRefused,   ///< the server reported that it did not run the request
+  ServerDown,      ///< the server is unreachable
+  ConnectionLost,  ///< the connection to the server or to its router process broke
+  BrokenAnswer,    ///< the server's response was truncated or invalid
   TimedOut,
   Cancelled,
   NoInstance,   ///< no server of the service is known
-  Quarantined,  ///< servers have ended while at work on the same request
-  Evacuated,    ///< operators have asked that the servers of the zone get nothing
+  Quarantined,  ///< servers have crashed while processing the same request
+  Evacuated,    ///< operators have evacuated the server's zone
 };
 
-/// Last value, for the decoder.
+/// The last value, for validation by the decoder.
 inline constexpr ForwardReason kLastForwardReason = ForwardReason::Evacuated;
 
-/// @return a word for logs and metrics.
+/// @return the word used in logs and metrics.
 const char* toString(ForwardReason reason);
 
-/// @return what a client is told.
+/// @return the reason that is reported to the client.
 Reason reasonOf(ForwardReason reason);
 
-/// Work at one server as its process counts it.
+/// Load of a server as measured by the router process on its node.
 struct ServerLoad {
   std::uint32_t running = 0;
   std::uint32_t queued = 0;
   std::uint32_t slots = 0;
-  /// How long large answers that are under way keep the machine's link busy, in milliseconds; 0 where the link is
-  /// never the limit.
+  /// How long pending large responses keep the machine's network link busy, in milliseconds; 0 where the link is not a
+  /// bottleneck.
   std::uint32_t link_busy_ms = 0;
-  /// Requests of a thousand that have failed at the server of late.
+  /// Recently failed requests per thousand.
   std::uint32_t failed_permille = 0;
-  /// Slots that all requests for the server's keys would keep busy, in hundredths; more than 100 times `slots` while
-  /// some are refused. 0 for services that are not divided by key.
+  /// Hundredths of slots that all requests for the server's keys would occupy; exceeds 100 times `slots` while some are
+  /// refused. 0 for services without keys.
   std::uint32_t demand_hundredths = 0;
-  /// Mean time that a request runs, in milliseconds.
+  /// Mean run time of a request in milliseconds.
   std::uint32_t mean_service_ms = 0;
 
   template <class Archive>
@@ -125,13 +125,13 @@
   }
 };
 
-/// How new what a process knows of a kind of the store's objects is.
+/// How current a process's view of one kind of store objects is.
 struct KindFreshness {
-  /// Of the newest object that it has seen; none while there is none.
+  /// Revision of the newest object that the process has seen; none if there is no object.
   StoreRevision revision;
-  /// The store's revision up to which it has seen all changes of the kind; none: nothing is told.
+  /// Store revision up to which the process has seen all changes of the kind; none if not reported.
   StoreRevision synced_revision;
-  /// How long ago there was no newer one for sure, when the process tells this.
+  /// Time since the view was last known to be current, when the frame is sent.
   Duration::rep staleness_us = 0;
 
   template <class Archive>
@@ -140,18 +140,18 @@
   }
 };
 
-/// Newest objects of the store that a process has seen; who has seen less asks the store.
+/// The newest store objects that a process has seen. A receiver that has seen older ones reads them from the store.
 struct KnownRevisions {
   KindFreshness config;
   KindFreshness nodes;
-  /// Of the owner table of the service that the process's server belongs to; none when it has none.
+  /// Revision of the owner table of the process's own service; none if it has no table.
   StoreRevision own_table;
-  /// What is left of the process's lease when it tells this; 0 when it has none.
+  /// Time left on the process's lease when the frame is sent; 0 if it has none.
   Duration::rep lease_left_us = 0;
-  /// Of the lease object that this rests on; none when it does not rest on a renewal of this process.
+  /// Revision of the lease object that the lease is based on; none if it is not based on a renewal by this process.
   StoreRevision lease_revision;
   KindFreshness evacuations = {};
-  /// Of the configuration in force, where operators count versions; 0 otherwise.
+  /// Version of the active configuration where operators assign versions; 0 otherwise.
   ConfigVersion config_version = 0;
 
   template <class Archive>
@@ -160,9 +160,9 @@
   }
 };
 
-/// Who owns some keys, from an owner table that the receiver may not have read yet.
+/// Owner of a key range according to an owner table that the receiver may not have read yet.
 struct OwnerHint {
-  /// Revision of the table; none: there is no hint.
+  /// Revision of the table; none if there is no hint.
   StoreRevision revision;
   Key first = 0;
   Key last = 0;
@@ -175,20 +175,20 @@
   }
 };
 
-/// Exactly one for each forward frame, while the stream lives.
+/// Reply to a forward frame; exactly one is sent unless the stream breaks.
 struct ForwardReplyFrame {
   ExchangeId exchange = 0;
   ForwardOutcome outcome = ForwardOutcome::Unknown;
   ForwardReason reason = ForwardReason::None;
-  /// Whether the request was sent to the server at all.
+  /// Whether any part of the request was sent to the server.
   bool reached_server = false;
-  /// When to come back, for refusals; 0 when nothing is known.
+  /// For refusals: suggested delay before a retry; 0 if unknown.
   Duration::rep retry_after_us = 0;
-  /// Time that the server took; 0 when it did not run.
+  /// Time that the server took; 0 if it did not answer.
   Duration::rep service_us = 0;
   ServerLoad load;
   KnownRevisions known;
-  /// With NotOwner: who owns the key.
+  /// For refused requests with a key: the owner of the key, if known.
   OwnerHint hint;
   HttpResponse http;
 
@@ -198,7 +198,7 @@
   }
 };
 
-/// A piece of a large reply frame. The pieces of one reply come in order, with other frames between them.
+/// A part of a large reply frame. The parts of one reply arrive in order, possibly interleaved with other frames.
 struct ReplyPartFrame {
   ExchangeId exchange = 0;
   /// Bytes of the encoded reply frame.
@@ -211,7 +211,7 @@
   }
 };
 
-/// The client went away, or its time is over.
+/// Cancels a forwarded request: the client disconnected or the deadline has passed.
 struct CancelForwardFrame {
   ExchangeId exchange = 0;
 
@@ -221,15 +221,15 @@
   }
 };
 
-/// First frame on a stream, from both sides.
+/// First frame on a stream, sent by both sides.
 struct HelloFrame {
-  /// The process that says it.
+  /// The sender's node.
   NodeName node;
   Incarnation incarnation;
-  /// The process has just started and the store has told it nothing yet.
+  /// The sender has just started and has not read anything from the store yet.
   bool needs_state = false;
-  /// From the side that connects: the node it means to reach. Its address may be another node's by now, which then
-  /// takes nothing from the stream.
+  /// Sent by the connecting side: the node that it expects at the address. If the address now belongs to another node,
+  /// that node ignores the frames of the stream.
   NodeName expected_node;
 
   template <class Archive>
@@ -238,7 +238,7 @@
   }
 };
 
-/// The sender's process is stopping: send it nothing new.
+/// The sender is shutting down and must not be sent new requests.
 struct StoppingFrame {
   NodeName node;
 
@@ -248,10 +248,10 @@
   }
 };
 
-/// Asks what became of a request whose stream broke. The receiver never begins it afterwards.
+/// Asks for the state of a request whose stream broke. The receiver does not start the request afterwards.
 struct ExchangeQueryFrame {
   ExchangeId exchange = 0;
-  /// The sender's incarnation that numbered the exchange.
+  /// The sender's incarnation in which the exchange id was assigned.
   Incarnation incarnation;
 
   template <class Archive>
@@ -261,9 +261,9 @@
 };
 
 enum class ExchangeState : std::uint8_t {
-  NotStarted,  ///< and never will be
-  Pending,     ///< waits or runs: the reply comes on the stream that asked
-  Answered,    ///< its reply was written to the stream that broke, and is lost
+  NotStarted,  ///< and never will be started
+  Pending,     ///< waiting or running; the reply will be sent on the stream of the query
+  Answered,    ///< the reply was written to the broken stream and is lost
 };
 
 struct ExchangeQueryReplyFrame {
@@ -276,7 +276,7 @@
   }
 };
 
-/// An object of the store.
+/// Copy of a store object.
 struct ObjectCopy {
   std::string name;
   StoreRevision revision;
@@ -288,9 +288,10 @@
   }
 };
 
-/// Asks a process for the owner table of its own service, if it has a newer one; answered with `OwnerTableFrame`.
+/// Requests the owner table of the receiver's own service if the receiver has a newer one; answered with
+/// `OwnerTableFrame`.
 struct OwnerTableRequestFrame {
-  /// Revision that the sender has; none while it has no table.
+  /// Revision of the sender's table; none if it has no table.
   StoreRevision known;
 
   template <class Archive>
@@ -299,7 +300,7 @@
   }
 };
 
-/// An owner table: one that the sender has just written, for those that it gives keys to, or one that was asked for.
+/// An owner table: sent after a write to the nodes that keys are assigned to, and in reply to a request.
 struct OwnerTableFrame {
   ObjectCopy table;
 
@@ -309,9 +310,9 @@
   }
 };
 
-/// Asks a process for the configuration in force there, if it is a later one; answered with `ConfigFrame`.
+/// Requests the receiver's active configuration if it is newer; answered with `ConfigFrame`.
 struct ConfigRequestFrame {
-  /// Version in force at the sender.
+  /// Version that is active at the sender.
   ConfigVersion known = 0;
 
   template <class Archive>
@@ -320,7 +321,7 @@
   }
 };
 
-/// All parts of the configuration in force at the sender.
+/// All objects of the configuration that is active at the sender.
 struct ConfigFrame {
   std::vector<ObjectCopy> parts;
 
@@ -330,13 +331,13 @@
   }
 };
 
-/// What the sender has read from the store, for a process that has started while the store can't be reached.
+/// Snapshot of what the sender has read from the store, for a process that starts while the store is unreachable.
 struct ClusterSnapshotFrame {
   std::vector<ObjectCopy> config;
   std::vector<ObjectCopy> shared;
-  /// One object for each evacuated zone.
+  /// One object per evacuated zone.
   std::vector<ObjectCopy> evacuations;
-  /// What is left for sure of the lease that the receiver's node had before; 0 when nothing is known.
+  /// Guaranteed remaining time of the lease that the receiver's node held before its restart; 0 if unknown.
   Duration::rep lease_left_us = 0;
 
   template <class Archive>
@@ -345,7 +346,7 @@
   }
 };
 
-/// A call to the store on behalf of a process that can't reach it.
+/// A store call that the receiver makes on behalf of the sender, which can't reach the store.
 struct StoreCallFrame {
   ExchangeId exchange = 0;
   Duration::rep timeout_us = 0;
@@ -359,7 +360,7 @@
 
 struct StoreReplyFrame {
   ExchangeId exchange = 0;
-  /// False: the call got no answer.
+  /// False if the call got no response.
   bool answered = false;
   HttpResponse http;
 
@@ -369,7 +370,7 @@
   }
 };
 
-/// Asks whether the other process is there; answered at once with `PongFrame`.
+/// Liveness probe; answered immediately with `PongFrame`.
 struct PingFrame {
   template <class Archive>
   void serialize(Archive&) {}
--- a/include/shedlever/server_ends.h
+++ b/include/shedlever/server_ends.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What processes tell each other of servers that ended while they were at work.
+/// Reports that router processes exchange about server crashes.
 
 #include <cstdint>
 #include <vector>
@@ -12,10 +12,11 @@
 
 namespace shedlever {
 
-/// Names one end of a server. The process beside it alone sees the end, once.
+/// Identifies one crash of a server. Only the router process on the same node observes the crash, once.
 struct ServerCrashId {
   InstanceId instance;
-  /// Time of day at which that process saw it, in microseconds since 1970: a server may start again under its id.
+  /// Wall-clock time at which that process observed the crash, in microseconds since the Unix epoch. Needed because a
+  /// server may restart under the same id.
   std::uint64_t seen_at_us = 0;
 
   auto operator<=>(const ServerCrashId&) const = default;
@@ -26,12 +27,13 @@
   }
 };
 
-/// A server ended that had not said that it leaves.
+/// The end of a server instance that had not announced its shutdown.
 struct ServerCrash {
   ServerCrashId id;
-  /// How long ago it was seen, when this is told: clocks of machines differ, ages hardly do.
+  /// Time between the observation and the sending of this frame. An age, unlike a time, is not affected by clock
+  /// differences between machines.
   Duration::rep age_us = 0;
-  /// Each request that it may have been at work on.
+  /// All requests that the server may have been processing.
   std::vector<RequestFingerprint> unanswered;
 
   template <class Archive>
@@ -40,13 +42,14 @@
   }
 };
 
-/// A request that ran on a server which had ended has since been answered by one.
+/// A request that had been running on a crashed server and has since been answered by a server.
 struct ServedSuspect {
   RequestFingerprint request;
-  /// Time of day at which the process beside that server saw it, in microseconds since 1970. Who knows one as late
-  /// learns nothing: the age alone would make the same news newer with each process that passes it on, for ever.
+  /// Wall-clock time at which the answering server's process observed this, in microseconds since the Unix epoch. A
+  /// receiver that knows this or a later time ignores the report, so that processes don't forward it to each other
+  /// forever; the age alone could not identify a repeated report.
   std::uint64_t seen_at_us = 0;
-  /// How long ago it was answered, when this is told.
+  /// Time between the answer and the sending of this frame.
   Duration::rep age_us = 0;
 
   template <class Archive>
@@ -55,7 +58,7 @@
   }
 };
 
-/// News of server ends. Who hears one twice learns nothing from the second.
+/// Reports of server crashes. Receiving the same report repeatedly has no effect.
 struct ServerCrashesFrame {
   std::vector<ServerCrash> crashes;
   std::vector<ServedSuspect> served;
@@ -68,10 +71,10 @@
   }
 };
 
-/// A request that is not sent to servers, as a node's record keeps it.
+/// A quarantined request, which is not sent to servers, as stored in a node record.
 struct QuarantinedRequest {
   RequestFingerprint request;
-  /// Time of day at which that ends, in seconds since 1970.
+  /// End of the quarantine, in seconds since the Unix epoch.
   std::uint64_t until_s = 0;
 
   bool operator==(const QuarantinedRequest&) const = default;
--- a/include/shedlever/server_life.h
+++ b/include/shedlever/server_life.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A server may start again under the id that it had. Its lives are told apart by the moment of their start.
+/// Instance ids of servers. A server may restart under the same server id; the start time distinguishes its instances.
 
 #include <cstdint>
 #include <optional>
@@ -11,24 +11,23 @@
 
 namespace shedlever {
 
-/// What a server calls itself; one life after the other may have it.
+/// The id that a server reports; successive instances may share it.
 using ServerId = StrongName<struct ServerIdTag>;
 
-/// Milliseconds since 1970, by the server's clock.
+/// Start time of a server instance, in milliseconds since the Unix epoch by the server's clock.
 using ServerStartMs = std::uint64_t;
 
-/// Between id and start in the name of a life; no id holds one, as ids are parts of paths.
+/// Separates server id and start time in an instance id. Server ids contain no slash, as they are path segments.
 inline constexpr char kServerStartSeparator = '/';
 
-/// @param start none where servers don't tell theirs: then an id has one life.
-/// @return the name of the life.
+/// @param start std::nullopt if servers don't report it; a server id then has a single instance.
 inline InstanceId instanceIdOf(const ServerId& server, std::optional<ServerStartMs> start) {
   return InstanceId(start ? server.value + kServerStartSeparator + std::to_string(*start) : server.value);
 }
 
-/// @return the server whose life it is.
-inline ServerId serverIdOf(const InstanceId& life) {
-  return ServerId(life.value.substr(0, life.value.find(kServerStartSeparator)));
+/// @return the id of the server that the instance belongs to.
+inline ServerId serverIdOf(const InstanceId& instance) {
+  return ServerId(instance.value.substr(0, instance.value.find(kServerStartSeparator)));
 }
 
 }  // namespace shedlever
--- a/include/shedlever/server_orders.h
+++ b/include/shedlever/server_orders.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Orders to the server beside this process about the keys that it holds.
+/// Commands to the local server (the server on this process's node) that grant and release keys.
 
 #include <cstdint>
 #include <functional>
@@ -17,7 +17,7 @@
   Key last = 0;
   std::uint64_t token = 0;
   Duration hold_duration{};
-  /// Empty when the last owner gave none.
+  /// State from the previous owner; empty if there is none.
   std::string handover;
 };
 
@@ -30,8 +30,8 @@
 enum class CommandStatus : std::uint8_t {
   Done,
   Superseded,  ///< the server has seen a higher token
-  NoAnswer,    ///< it may be carried out, even seconds later
-  ServerGone,  ///< nothing listens at the server's address
+  NoAnswer,    ///< the command may be executed, even seconds later
+  ServerGone,  ///< the server's address refuses connections
 };
 
 struct ReleaseResult {
@@ -39,13 +39,13 @@
   std::string handover;
 };
 
-/// Callbacks run from the event loop, once, never inside the call that started them.
+/// Each callback runs exactly once, from the event loop, never inside the call that registered it.
 class ServerCommands {
  public:
   virtual ~ServerCommands() = default;
-  virtual void grant(const GrantCommand& order, std::function<void(CommandStatus)> done) = 0;
-  /// The answer comes once the work that ran on the keys has ended.
-  virtual void release(const ReleaseCommand& order, std::function<void(ReleaseResult)> done) = 0;
+  virtual void grant(const GrantCommand& command, std::function<void(CommandStatus)> done) = 0;
+  /// Completes once all running requests for the keys have ended.
+  virtual void release(const ReleaseCommand& command, std::function<void(ReleaseResult)> done) = 0;
 };
 
 }  // namespace shedlever
--- a/include/shedlever/settings.h
+++ b/include/shedlever/settings.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Effective settings, after inheritance and validation. Every number has a default; durations are in
-/// microseconds here and in milliseconds in documents.
+/// Effective settings after inheritance and validation. Every number has a default. Durations are in microseconds here
+/// and in milliseconds in documents.
 
 #include <cstdint>
 #include <map>
@@ -14,10 +14,10 @@
 
 namespace shedlever {
 
-/// Version of one document in the platform's store; strictly growing per document.
+/// Version of a document in the platform's store; strictly increasing per document.
 using SettingsVersion = std::uint64_t;
 
-/// Name of a document: "deployment", or "services/NAME".
+/// Name of a document: "deployment" or "services/NAME".
 using DocumentName = StrongName<struct DocumentNameTag>;
 
 /// One settings document as stored.
@@ -37,61 +37,61 @@
 /// A tenant's share of a service.
 struct TenantSettings {
   TenantName name;
-  /// Share in the fair queue, relative to the others; at least 1.
+  /// Share in the fair queue, relative to the other tenants; at least 1.
   std::uint32_t weight = 1;
-  /// Requests that may wait at one server.
+  /// Maximum number of requests that wait at one server.
   std::uint32_t queue_limit = 64;
-  /// Lower-case hex SHA-256 of the bearer credential. The credential itself is never stored.
+  /// SHA-256 of the bearer credential in lower-case hexadecimal. The credential itself is never stored.
   std::string credential_sha256;
 };
 
-/// Limits of one back end; a back end may override its service's values.
+/// Settings of a back end; a back end may override its service's values.
 struct BackendSettings {
-  /// Requests sent to the server at once at most; fewer if it reports fewer slots.
+  /// Maximum number of concurrent requests to the server; fewer if it reports fewer slots.
   std::uint32_t slots = 1000;
-  /// Path at which it is asked whether it lives.
+  /// Path of the health check.
   std::string health_path = "/health";
 };
 
-/// Where a request carries its key.
+/// Where the key of a request is found.
 enum class KeySource : std::uint8_t {
   Path,    ///< the path segment after the service's prefix
   Header,  ///< the header named by `key_header`
 };
 
-/// How much a service's requests may be sent again.
+/// Limits on retries of a service's requests.
 struct RetrySettings {
-  /// Repeats earned per request, e.g. 0.1: one repeat for ten requests.
+  /// Retries allowed per request, e.g. 0.1 allows one retry for ten requests.
   double budget_ratio = 0.1;
-  /// Repeats allowed besides, for all processes together, in one window.
+  /// Additional retries allowed per window, for all processes together.
   std::uint32_t budget_slack = 20;
-  /// Servers that one request is sent to at most.
+  /// Maximum number of servers that one request is sent to.
   std::uint32_t attempts = 3;
 };
 
-/// Everything that holds for one service.
+/// All settings of one service.
 struct ServiceSettings {
   ServiceName name;
-  /// Version of the service's own document and of the deployment's: both in force together.
+  /// Versions of the service's document and of the deployment document, which take effect together.
   SettingsVersion version = 0;
   SettingsVersion deployment_version = 0;
 
-  /// Requests whose path begins with this belong to the service, e.g. "/talash/".
+  /// Path prefix of the service's requests, e.g. "/talash/".
   std::string path_prefix;
-  /// Whether each key has one owner.
+  /// Whether each key is owned by exactly one server.
   bool divided_by_key = false;
   KeySource key_source = KeySource::Path;
   std::string key_header;
-  /// Requests of the service may be run more than once without harm.
+  /// Requests of the service are idempotent.
   bool repeatable = false;
-  /// Requests of the service run at most once; they need an `Idempotency-Key`.
+  /// Requests of the service run at most once and require an `Idempotency-Key`.
   bool once_only = false;
-  /// How long a once-only key stays taken after its request has ended.
+  /// How long an idempotency key stays claimed after its request has ended.
   Duration claim_retention = std::chrono::hours(24);
 
-  /// 0 is the most urgent.
+  /// 0 is the highest priority.
   std::uint32_t priority = 0;
-  /// Time within which an answer is worth most.
+  /// Latency objective.
   Duration target_latency = std::chrono::seconds(1);
   Duration default_deadline = std::chrono::seconds(10);
   Duration longest_deadline = std::chrono::seconds(60);
@@ -100,12 +100,12 @@
 
   RetrySettings retry;
   BackendSettings backend;
-  /// By back end name (the name of the node beside it).
+  /// Overrides by back end, identified by the name of its node.
   std::map<NodeName, BackendSettings> backend_overrides;
   std::vector<TenantSettings> tenants;
 };
 
-/// The whole deployment as one process has it in force.
+/// The settings of the whole deployment that are active in a process.
 struct DeploymentSettings {
   SettingsVersion version = 0;
   std::map<ServiceName, ServiceSettings> services;
--- a/include/shedlever/store_revision.h
+++ b/include/shedlever/store_revision.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A moment in the history of the metadata store.
+/// Revisions of the metadata store.
 
 #include <compare>
 #include <cstdint>
@@ -9,20 +9,20 @@
 
 namespace shedlever {
 
-/// Rises by one each time the store comes back from a copy of an earlier state. 0: the store tells none.
+/// Incremented each time the store is restored from a backup. 0: the store reports no epoch.
 using StoreEpoch = std::uint64_t;
 
-/// The store counts its changes. When it comes back from a copy, it counts on from where the copy stood, so that a
-/// count says something within one epoch only; of two epochs the later one is newer, whatever the counts.
+/// Position in the change history of the store. After a restore the store continues to count from the count in the
+/// backup, so counts are comparable only within one epoch; a revision of a later epoch is always newer.
 struct StoreRevision {
   StoreEpoch epoch = 0;
-  /// 0: none.
+  /// Number of changes; 0: no revision.
   std::uint64_t count = 0;
 
   constexpr StoreRevision() = default;
-  constexpr StoreRevision(StoreEpoch era_of_it, std::uint64_t count_in_it) : epoch(era_of_it), count(count_in_it) {}
-  /// Of a store that tells no epoch.
-  constexpr StoreRevision(std::uint64_t count_in_it) : count(count_in_it) {}  // NOLINT(google-explicit-constructor)
+  constexpr StoreRevision(StoreEpoch its_epoch, std::uint64_t its_count) : epoch(its_epoch), count(its_count) {}
+  /// For a store that reports no epoch.
+  constexpr StoreRevision(std::uint64_t its_count) : count(its_count) {}  // NOLINT(google-explicit-constructor)
 
   bool none() const { return count == 0; }
   auto operator<=>(const StoreRevision&) const = default;
@@ -33,7 +33,7 @@
   }
 };
 
-/// @return for logs: the count, behind the epoch where there is one, as in `2.115`.
+/// @return the form used in logs: the count, prefixed with the epoch if there is one, e.g. `2.115`.
 inline std::string toString(const StoreRevision& revision) {
   const std::string count = std::to_string(revision.count);
   return revision.epoch == 0 ? count : std::to_string(revision.epoch) + "." + count;
--- a/include/shedlever/time.h
+++ b/include/shedlever/time.h
@@ -1,19 +1,19 @@
 #pragma once
 
 /// @file
-/// Time as every core sees it. Cores never read a clock: the time is passed in with each event.
+/// Time types and interfaces to clocks and random numbers. Core classes never read a clock; the time is passed to them
+/// with each event.
 
 #include <chrono>
 #include <cstdint>
 
 namespace shedlever {
 
-/// All durations are in microseconds.
 using Duration = std::chrono::microseconds;
 
-/// Tag clock for a process's own boot time. It counts on while the machine is suspended
-/// (CLOCK_BOOTTIME), so that a paused process sees on waking how long it was away.
-/// Time points of different processes are not comparable.
+/// Clock tag for the boot time of the process's machine (CLOCK_BOOTTIME). The clock advances while the machine is
+/// suspended, so that a resumed process can tell how long it was suspended. Time points of different processes are not
+/// comparable.
 struct BootClock {
   using rep = Duration::rep;
   using period = Duration::period;
@@ -24,19 +24,19 @@
 
 using TimePoint = BootClock::time_point;
 
-/// A time that is never reached: "no wake-up needed".
+/// A time that is never reached.
 inline constexpr TimePoint kNever = TimePoint::max();
 
-/// Source of the current time; the only way a process reads it.
+/// Source of the current time.
 class Clock {
  public:
   virtual ~Clock() = default;
 
-  /// @return the boot time of this process's machine.
+  /// @return the current boot time.
   virtual TimePoint now() const = 0;
 };
 
-/// Source of random numbers; seeded in tests and in the simulator.
+/// Source of random numbers; seeded in tests and the simulator.
 class RandomSource {
  public:
   virtual ~RandomSource() = default;
