--- a/source/router/event_log.cc
+++ b/source/router/event_log.cc
@@ -30,11 +30,11 @@
     return;
   }
   line += '"';
-  for (const char letter : value) {
-    if (letter == '"' || letter == '\\') {
+  for (const char character : value) {
+    if (character == '"' || character == '\\') {
       line += '\\';
     }
-    line += letter == '\n' ? ' ' : letter;
+    line += character == '\n' ? ' ' : character;
   }
   line += '"';
 }
@@ -75,12 +75,12 @@
 
 bool EventLog::mayWriteAttempt() { return takeToken(attempts_); }
 
-void EventLog::write(const char* part, std::string_view event, std::initializer_list<LogField> fields) {
+void EventLog::write(const char* component, std::string_view event, std::initializer_list<LogField> fields) {
   if (buffer_.size() > kBufferLimitBytes) {
     ++dropped_lines_;
     return;
   }
-  buffer_.append(part).append(": event=");
+  buffer_.append(component).append(": event=");
   appendValue(buffer_, event);
   buffer_.append(" at_ms=").append(std::to_string(wallClockMicroseconds() / kMicrosecondsPerMillisecond));
   buffer_.append(" t_us=").append(std::to_string(clock_.now().time_since_epoch().count()));
--- a/source/router/event_log.h
+++ b/source/router/event_log.h
@@ -1,10 +1,9 @@
 #pragma once
 
 /// @file
-/// Structured logs on standard output: one line of key=value fields an event.
+/// Structured event log: one line of key=value fields per event.
 ///
-/// Not by glog: it writes each line with a system call of its own and blocks when the reader is slow; both cost
-/// processor time that requests need.
+/// Does not use glog, which issues a system call per line and blocks when the reader is slow.
 
 #include <cstdint>
 #include <initializer_list>
@@ -17,43 +16,43 @@
 
 namespace shedlever {
 
-/// A field; values with blanks or quotes are quoted.
+/// A key=value field. Values that are empty or contain a space, quote, equals sign or newline are quoted.
 struct LogField {
   const char* key;
   std::string value;
 };
 
-/// Each line tells the time of day (`at_ms`, to compare machines) and the boot time (`t_us`, which never jumps).
-/// Keeps lines in a buffer that is written in the background. Never blocks: when the buffer is full, lines are counted
-/// instead of kept, and the count is logged. Lines about single requests have a rate limit of their own, with a reserve
-/// for those that failed.
+/// Each line contains the wall-clock time (`at_ms`, comparable between machines) and the boot time (`t_us`, monotonic).
+/// Lines are buffered and written from the event loop. The log never blocks: when the buffer is full, lines are dropped
+/// and counted, and the count is logged. Lines about requests served in time, failed requests and attempts have
+/// separate rate limits.
 class EventLog {
  public:
-  /// @param loop outlives the log.
+  /// @param loop, clock outlive the log. @param file_descriptor is set to non-blocking mode.
   EventLog(EventLoop& loop, const Clock& clock, int file_descriptor);
   ~EventLog();
   EventLog(const EventLog&) = delete;
   EventLog& operator=(const EventLog&) = delete;
 
-  /// Something that changes what the process believes, or its life.
-  void write(const char* part, std::string_view event, std::initializer_list<LogField> fields);
+  /// Writes one line. Lines about single requests need one of the permissions below first.
+  void write(const char* component, std::string_view event, std::initializer_list<LogField> fields);
 
-  /// A request that was served as it should be; few lines a second are kept.
-  /// @return whether a line would be kept now; the caller makes its fields only then.
+  /// Rate limit for requests that were answered in time.
+  /// @return whether a line may be written now. Otherwise the line counts as dropped.
   bool mayWriteServed();
-  /// A request that was refused, failed or came late; most are kept.
+  /// As `mayWriteServed`, for requests that were refused, failed or answered late.
   bool mayWriteFailed();
-  /// An attempt that did not end its request, or what a gate made of one.
+  /// As `mayWriteServed`, for attempts that did not end their request and for a gate's decisions.
   bool mayWriteAttempt();
 
-  /// Lines that were not kept.
+  /// @return number of lines dropped because of a rate limit or a full buffer.
   std::uint64_t droppedLines() const { return dropped_lines_; }
 
-  /// Writes what the file takes at once.
+  /// Writes as much of the buffer as the file accepts without blocking.
   void flush();
 
  private:
-  /// Tokens that come back with time.
+  /// Token bucket.
   struct RateLimit {
     double per_second;
     double burst;
@@ -74,7 +73,7 @@
   RateLimit served_;
   RateLimit failed_;
   RateLimit attempts_;
-  /// Set to false by the destructor, for what the loop still holds.
+  /// Set to false by the destructor, for callbacks that are still pending in the event loop.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/router/gate_recorder.cc
+++ b/source/router/gate_recorder.cc
@@ -3,6 +3,7 @@
 #include <string>
 
 #include "source/core/router/duration_text.h"
+
 namespace shedlever {
 
 namespace {
@@ -29,7 +30,7 @@
               {"slots", std::to_string(inputs.load.slots)},
               {"link_ms", std::to_string(inputs.load.link_busy_ms)},
               {"retry_after_ms", millisecondsText(retry_after)},
-              {"longest_wait_ms", millisecondsText(inputs.longest_wait)},
+              {"longest_wait_ms", millisecondsText(inputs.max_wait)},
               {"table", inputs.table.none() ? "-" : toString(inputs.table)},
               {"lease_left_ms", frame.keyed ? millisecondsText(inputs.lease_left) : "-"},
               {"left_ms", millisecondsText(Duration(frame.remaining_us))}});
--- a/source/router/gate_recorder.h
+++ b/source/router/gate_recorder.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Logs and counts what the gate decides about each request that comes to its server.
+/// Logs and counts the gate's decisions about requests for its server.
 
 #include "shedlever/request_fingerprint.h"
 #include "source/router/event_log.h"
@@ -10,30 +10,30 @@
 
 namespace shedlever {
 
-/// What a refusal was decided by.
+/// The state on which a refusal was based.
 struct GateInputs {
-  /// Life of the server that was there.
+  /// The running server instance.
   InstanceId instance;
   ServerLoad load;
-  /// Longest time that the request might have waited.
-  Duration longest_wait{};
-  /// Owner table that the key was looked up in; 0 for requests without a key.
+  /// Maximum time that the request could have waited.
+  Duration max_wait{};
+  /// Revision of the owner table in which the key was looked up; none for requests without a key.
   StoreRevision table;
-  /// What was left of the node's lease; 0 for requests without a key.
+  /// Time left on the node's lease; zero for requests without a key.
   Duration lease_left{};
 };
 
 class GateRecorder {
  public:
-  /// All outlive the recorder.
+  /// @param log, metrics outlive the recorder.
   GateRecorder(EventLog& log, RouterMetrics& metrics) : log_(log), metrics_(metrics) {}
 
-  /// The request was not begun.
-  /// @param retry_after time told; the predicted wait where the queue was too long.
+  /// Records a request that was not started.
+  /// @param retry_after suggested delay before a retry; the predicted wait if the queue was too long.
   void refused(const ForwardFrame& frame, ForwardReason reason, Duration retry_after, const GateInputs& inputs);
 
-  /// The server's part of the request has ended.
-  /// @param queued before it was sent to the server. @param ran until it ended.
+  /// Records the end of a request that was sent to the server.
+  /// @param queued time before the request was sent. @param ran time until it ended.
   void ended(const ForwardFrame& frame, const RequestFingerprint& fingerprint, const ServerResult& result,
              Duration queued, Duration ran);
 
--- a/source/router/gateway.cc
+++ b/source/router/gateway.cc
@@ -11,20 +11,20 @@
 
 namespace {
 
-/// What was measured of absent owners holds for so long.
+/// Measured waits for owners are ignored once the last one is older than this.
 constexpr Duration kOwnerWaitMaxAge = std::chrono::seconds(2);
-/// Sends of one request, however its key moves about.
+/// Limits the attempts for one request whose key is transferred repeatedly.
 constexpr std::uint32_t kMaxAttempts = 8;
-/// A parked request is tried again after so long even if no change was heard of.
+/// A parked request is retried after this interval even if no change of owner was reported.
 constexpr Duration kParkedRetryInterval = std::chrono::milliseconds(40);
-/// Returns of refused requests are spread over this multiple of the time told.
+/// Maximum jitter as a multiple of the retry delay.
 constexpr double kRetryAfterJitter = 1.0;
 constexpr Duration kMinRetryAfter = std::chrono::milliseconds(100);
-/// A process that starts or stops is there, or there again, after about so long.
+/// Roughly the time for which a process is unavailable while it starts or stops.
 constexpr Duration kUnavailableRetryAfter = std::chrono::milliseconds(500);
-/// A request with the same idempotency key runs; or the store does not answer.
+/// Retry delay while a request with the same idempotency key runs or the store does not respond.
 constexpr Duration kClaimRetryAfter = std::chrono::seconds(1);
-/// Clients honour a time up to a third of what they have left.
+/// Clients honour a retry delay of at most a third of their remaining time.
 constexpr int kMaxRetryAfterDivisor = 4;
 
 }  // namespace
@@ -143,7 +143,7 @@
     case ClaimVerdict::Granted:
       return;
     case ClaimVerdict::Recorded:
-      // The answer is the earlier request's; the id is this one's.
+      // The recorded response belongs to an earlier request; the id must be that of this request.
       ports_.protocol->finalizeResponse(answer.recorded, request.id);
       finish(number, std::move(answer.recorded), "recorded", ClaimEnd::NotRun);
       return;
@@ -181,7 +181,7 @@
   const KeyOwner owner = ports_.owner_of(request.service, *request.info.key);
   const bool reachable = owner.node == self_ || !ports_.directory->isUnreachable(owner.node);
   if (!owner.instance.empty() && !reachable) {
-    // It is tried again after half a second; its keys are another's after seconds.
+    // The peer is retried after half a second; a new owner is assigned only after seconds.
     refuse(number, ForwardReason::ServerDown, kUnavailableRetryAfter);
     return;
   }
@@ -222,7 +222,7 @@
   const bool local = request.attempt.local;
   const std::uint64_t handle =
       local ? ports_.gate->forward(std::move(frame), done) : ports_.links->forward(node, std::move(frame), done);
-  // The reply may have come inside the call, and ended the request or begun the next attempt.
+  // The reply may have arrived inside the call and have ended the request or started the next attempt.
   const auto found = requests_.find(number);
   if (found != requests_.end() && found->second.attempt.open && found->second.attempt.handle == 0 &&
       found->second.attempt.instance == instance) {
@@ -346,10 +346,10 @@
 Duration Gateway::jitteredRetryAfter(Duration wanted, Duration remaining) {
   constexpr std::uint64_t kSteps = 1000;
   const double share = static_cast<double>(ports_.random->below(kSteps)) / static_cast<double>(kSteps);
-  const double least = static_cast<double>(std::max(wanted, kMinRetryAfter).count());
-  const double most = static_cast<double>((remaining / kMaxRetryAfterDivisor).count());
-  const double told = std::min(least * (1.0 + kRetryAfterJitter * share), std::max(most, 0.0));
-  return Duration(static_cast<Duration::rep>(told));
+  const double min = static_cast<double>(std::max(wanted, kMinRetryAfter).count());
+  const double max = static_cast<double>((remaining / kMaxRetryAfterDivisor).count());
+  const double delay = std::min(min * (1.0 + kRetryAfterJitter * share), std::max(max, 0.0));
+  return Duration(static_cast<Duration::rep>(delay));
 }
 
 void Gateway::refuse(RequestNumber number, ForwardReason reason, Duration retry_after) {
@@ -364,9 +364,10 @@
   const Request& request = requests_.at(number);
   const TimePoint now = ports_.clock->now();
   const Duration time_left = request.info.time_left.value_or(request.route->timeout) - (now - request.arrived);
-  // Who comes back before a quarantine is over is refused again: it is told the whole time, also beyond its deadline.
-  const Duration told = reason == Reason::Quarantined ? retry_after : jitteredRetryAfter(retry_after, time_left);
-  const Refusal refusal{request.id, Outcome::NotRun, reason, told};
+  // A retry before the end of the quarantine would be refused again, so the full time is reported even if it exceeds
+  // the deadline.
+  const Duration delay = reason == Reason::Quarantined ? retry_after : jitteredRetryAfter(retry_after, time_left);
+  const Refusal refusal{request.id, Outcome::NotRun, reason, delay};
   finish(number, ports_.protocol->makeRefusalResponse(refusal), "refused", ClaimEnd::NotRun);
 }
 
@@ -406,7 +407,7 @@
     refuse(number, request.last_reason, kMinRetryAfter);
     return;
   }
-  // A request that waits at this process's own gate has not run and never will once it is taken back.
+  // A request that waits at the local gate has not run and can't run once it is cancelled.
   const bool waits_here =
       request.attempt.open && request.attempt.local && !ports_.gate->isRunning(request.attempt.handle);
   cancelAttempt(request);
--- a/source/router/gateway.h
+++ b/source/router/gateway.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Takes clients' requests and sees each to its one final answer.
+/// Accepts client requests and sends exactly one final response to each.
 
 #include <functional>
 #include <map>
@@ -22,13 +22,13 @@
 
 namespace shedlever {
 
-/// What the gateway uses; everything outlives it.
+/// Dependencies of the gateway; all of them outlive it.
 struct GatewayPorts {
   EventLoop* loop = nullptr;
   const Clock* clock = nullptr;
   RandomSource* random = nullptr;
   const ClientProtocol* protocol = nullptr;
-  /// Null where no route needs idempotency keys.
+  /// Null if no route needs idempotency keys.
   ClaimKeeper* claims = nullptr;
   ServerDirectory* directory = nullptr;
   const CrashQuarantine* quarantine = nullptr;
@@ -36,17 +36,17 @@
   PeerLinks* links = nullptr;
   EventLog* log = nullptr;
   RouterMetrics* metrics = nullptr;
-  /// @return who owns the key; empty while nobody does, or it is not known.
+  /// @return the owner of the key; empty if the key has no owner or the owner is unknown.
   std::function<KeyOwner(const ServiceName&, Key)> owner_of;
-  /// A reply told who owns some keys.
+  /// Called when a reply contains an owner hint.
   std::function<void(const ServiceName&, const OwnerHint&)> on_hint;
-  /// A process, of that service's servers, has seen these.
+  /// Called with the revisions known to the process of a server of the service.
   std::function<void(const NodeName&, const ServiceName&, const KnownRevisions&)> on_known_revisions;
 };
 
 class Gateway {
  public:
-  /// @param own_service of the server on this machine, where all requests begin.
+  /// @param own_service service of the server on this node, which the gateway's clients belong to.
   Gateway(NodeIdentity self, ServiceName own_service, const RetryBudgetConfig& budget, GatewayPorts ports);
 
   ~Gateway() { *alive_ = false; }
@@ -54,22 +54,22 @@
   Gateway& operator=(const Gateway&) = delete;
 
   void setConfig(std::shared_ptr<const RouteTable> routes);
-  /// For services whose own settings give no budget.
+  /// Sets the budget of services whose settings contain none.
   void setRetryBudget(const RetryBudgetConfig& budget) { budget_.setConfig(budget); }
   void setProcessCount(std::size_t processes) { budget_.setProcesses(processes); }
 
-  /// A request has arrived whole.
+  /// Handles a completely received request.
   void handle(HttpRequest http, const HttpReplier& replier);
 
-  /// An owner table has changed, or a key is newly held: requests that wait for their owner go on.
+  /// An owner table has changed or a key has been acquired: retries the requests that wait for an owner.
   void onOwnersChanged();
 
-  /// From now on every new request is refused: this process is about to end.
+  /// Refuses every new request from now on, since this process is about to exit.
   void refuseNewRequests() { refusing_ = true; }
 
   std::size_t inFlight() const { return requests_.size(); }
 
-  /// @return when the last request came; zero before the first.
+  /// @return arrival time of the last request; zero before the first one.
   TimePoint lastRequestAt() const { return last_request_at_; }
 
  private:
@@ -81,30 +81,30 @@
   void claim(RequestNumber number);
   void onClaim(RequestNumber number, ClaimAnswer answer);
   void dispatch(RequestNumber number);
-  /// Refuses a request that is kept from all servers. @return whether it is.
+  /// Refuses the request if it is quarantined. @return whether it was refused.
   bool refuseQuarantined(RequestNumber number);
   void sendTo(RequestNumber number, const NodeName& node, const InstanceId& instance);
   ForwardFrame frameOf(const Request& request, const InstanceId& instance, TimePoint now) const;
   void onReply(RequestNumber number, ForwardReplyFrame reply);
-  /// A request goes on, or is given up, that has waited for its key's owner.
+  /// Records how long the request waited for its key's owner, if it did.
   void recordOwnerWait(Request& request, TimePoint now);
-  /// @return how long it will still wait, as far as others have.
+  /// @return how much longer the request is expected to wait for its key's owner, based on earlier requests.
   Duration expectedOwnerWait(const Request& request, TimePoint now) const;
   void park(RequestNumber number);
   void refuse(RequestNumber number, ForwardReason reason, Duration retry_after);
   void refuseFor(RequestNumber number, Reason reason, Duration retry_after);
   void fail(RequestNumber number, ForwardReason reason);
-  /// Ends a request of which an attempt has run, or may have: a refusal would say that none has.
-  /// @return whether it was such a request.
+  /// Ends the request if one of its attempts has run or may have run: a refusal would claim that none has.
+  /// @return whether the request was ended.
   bool endIfPossiblyRun(RequestNumber number);
   void answer(RequestNumber number, HttpResponse response);
   void onDeadline(RequestNumber number);
   void onClientGone(RequestNumber number);
   void cancelAttempt(Request& request);
   void finish(RequestNumber number, HttpResponse response, const char* outcome, ClaimEnd claim_end);
-  /// What is known now of the server that the last attempt went to.
+  /// @return what is currently known about the server of the last attempt.
   AttemptInputs inputsOf(const Request& request) const;
-  /// @return when to come back: some time after `wanted`, so that not all come at once.
+  /// @return a retry delay of at least `wanted` plus random jitter, limited to a fraction of `remaining`.
   Duration jitteredRetryAfter(Duration wanted, Duration remaining);
 
   NodeName self_;
@@ -118,15 +118,15 @@
   std::shared_ptr<const RouteTable> routes_;
   bool refusing_ = false;
   TimePoint last_request_at_{};
-  /// Of all servers, by route.
+  /// Service times of all servers, by route.
   ServiceTimes service_times_;
-  /// How long requests waited for their key's owner, by service; noted last at that time.
+  /// How long requests waited for their key's owner, by service, and when this was last recorded.
   ServiceTimes owner_waits_;
   TimePoint owner_wait_recorded_at_{};
   RequestNumber last_number_ = 0;
   std::map<RequestNumber, Request> requests_;
   std::set<RequestNumber> parked_;
-  /// Set to false by the destructor, for what the loop still holds.
+  /// Set to false by the destructor, for callbacks that are still pending in the event loop.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/router/gateway_recorder.h
+++ b/source/router/gateway_recorder.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Logs and counts what the gateway decides about each request: one line for every attempt that did not end it, one
-/// for its end.
+/// Logs and counts the gateway's decisions about each request: one line for each attempt that did not end the request
+/// and one for its end.
 
 #include <string_view>
 
@@ -13,32 +13,33 @@
 
 namespace shedlever {
 
-/// What the gateway knew when it chose where to send a request.
+/// What the gateway knows about the server of an attempt.
 struct AttemptInputs {
-  /// Occupied share of the server's slots, as last told.
+  /// Occupied share of the server's slots as last reported.
   double occupancy = 0;
-  /// Age of what was told; the longest duration when nothing was.
+  /// Age of the last load report; Duration::max() if there is none.
   Duration load_age = Duration::max();
-  /// Owner table that named the key's owner; 0 for requests without a key.
+  /// Revision of the owner table that lists the key's owner; none for requests without a key.
   StoreRevision table;
 };
 
 class GatewayRecorder {
  public:
-  /// All outlive the recorder.
+  /// @param clock, log, metrics outlive the recorder.
   GatewayRecorder(const Clock& clock, EventLog& log, RouterMetrics& metrics)
       : clock_(clock), log_(log), metrics_(metrics) {}
 
-  /// The request was refused before it had a route: no configuration, a stop, no such route, a wrong request.
-  /// @param version of the configuration that decided it; 0 for none.
+  /// Records a request that was refused before it was dispatched: no configuration, shutdown, no matching route or an
+  /// invalid request.
+  /// @param version of the active configuration; 0 if there is none.
   void refusedAtOnce(const HttpRequest& http, const RequestId& id, Reason reason, ConfigVersion version);
 
-  /// An attempt has come back without ending the request.
-  /// @param inputs that chose its server.
+  /// Records an attempt that did not end the request.
+  /// @param inputs what is known about the server of the attempt.
   void attemptEnded(const GatewayRequest& request, const ForwardReplyFrame& reply, NextStep next,
                     const AttemptInputs& inputs);
 
-  /// The request has had its final answer.
+  /// Records the final response to the request.
   /// @param outcome "answered", "refused", "failed", "recorded" or "client-gone".
   void ended(const GatewayRequest& request, int status, std::string_view outcome);
 
--- a/source/router/gateway_request.h
+++ b/source/router/gateway_request.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One request of a client from its arrival to its final answer, as the gateway keeps it.
+/// State of a client request in the gateway, from its arrival to its final response.
 
 #include <cstdint>
 #include <memory>
@@ -15,12 +15,12 @@
 
 namespace shedlever {
 
-/// Where the present attempt is, or the last one was.
+/// The current or last attempt of a request.
 struct GatewayAttempt {
   NodeName node;
   InstanceId instance;
   bool local = false;
-  /// Ticket at the own gate, or exchange at another process; 0 while there is none.
+  /// Queue ticket at the local gate or exchange id at a peer; 0 if there is none yet.
   std::uint64_t handle = 0;
   bool open = false;
 };
@@ -36,26 +36,27 @@
   ServiceName service;
   RequestId id;
   ClientRequestInfo info;
-  /// Its claim of an idempotency key; 0 for none.
+  /// Claim of the idempotency key; 0 if there is none.
   ClaimNumber claim = 0;
-  /// Waits for its claim to be decided.
+  /// Whether the request waits for the result of its claim.
   bool claiming = false;
   bool keyed = false;
   TimePoint arrived{};
   TimePoint deadline{};
-  /// Servers that have been tried.
+  /// Server instances to which an earlier attempt was made.
   std::set<InstanceId> tried_instances;
+  /// Number of attempts that reached a server.
   std::uint32_t reached = 0;
   std::uint32_t attempts = 0;
   GatewayAttempt attempt;
-  /// Waits for its key's owner.
+  /// Whether the request waits for its key to get an owner.
   bool parked = false;
-  /// Zero while it does not wait for it.
+  /// Start of that wait; zero if the request is not waiting.
   TimePoint parked_since{};
   ForwardReason last_reason = ForwardReason::None;
-  /// Why the outcome of an attempt is unknown; none while every attempt that has ended is known to have run or not.
+  /// Why the outcome of an attempt is unknown; std::nullopt while the outcomes of all ended attempts are known.
   std::optional<ForwardReason> unknown_reason;
-  /// The server's whole answer to an earlier attempt, an error, after which another server was tried.
+  /// Complete error response of a server to an earlier attempt, after which another server was tried.
   std::optional<HttpResponse> earlier_answer;
   TimerId timer = 0;
 };
--- a/source/router/quarantine_coordinator.cc
+++ b/source/router/quarantine_coordinator.cc
@@ -10,15 +10,15 @@
 
 namespace {
 
-/// What is remembered lasts for minutes; looking at it is not urgent.
+/// State is kept for minutes, so removing it need not be prompt.
 constexpr Duration kExpiryInterval = std::chrono::seconds(1);
-/// Names in a record: 16 of 50 bytes each. The last ones count most.
+/// Limits the size of a node record, at about 50 bytes per request. Requests with the latest end are kept.
 constexpr std::size_t kMaxRecordedRequests = 16;
 
-/// Since 1970.
-using TimeOfDay = Duration;
+/// Time since the Unix epoch.
+using UnixTime = Duration;
 
-TimeOfDay timeOfDay() { return TimeOfDay(static_cast<Duration::rep>(wallClockMicroseconds())); }
+UnixTime unixTime() { return UnixTime(static_cast<Duration::rep>(wallClockMicroseconds())); }
 
 std::string textOf(const std::vector<RequestFingerprint>& requests) {
   std::string text;
@@ -28,10 +28,10 @@
   return text.empty() ? "-" : text;
 }
 
-std::string textOf(const std::vector<ServerCrashId>& ends) {
+std::string textOf(const std::vector<ServerCrashId>& crashes) {
   std::string text;
-  for (const ServerCrashId& end : ends) {
-    text += (text.empty() ? "" : ",") + end.instance.value;
+  for (const ServerCrashId& crash : crashes) {
+    text += (text.empty() ? "" : ",") + crash.instance.value;
   }
   return text.empty() ? "-" : text;
 }
@@ -64,12 +64,12 @@
   }
 }
 
-void QuarantineCoordinator::onCrashesFrame(const ServerCrashesFrame& told) {
-  const ServerCrashesFrame news = quarantine_.take(told, ports_.clock->now());
+void QuarantineCoordinator::onCrashesFrame(const ServerCrashesFrame& received) {
+  const ServerCrashesFrame news = quarantine_.take(received, ports_.clock->now());
   if (!news.empty()) {
     ports_.broadcast(news);
   }
-  reportChanges("told");
+  reportChanges("peer");
 }
 
 void QuarantineCoordinator::onRecord(const NodeRecord& record, bool own) {
@@ -77,25 +77,26 @@
     return;
   }
   const TimePoint now = ports_.clock->now();
-  const TimeOfDay day_now = timeOfDay();
-  for (const QuarantinedRequest& one : record.quarantined) {
-    const TimeOfDay until = std::chrono::seconds(one.until_s);
-    quarantine_.onRecorded(one.request, now + (until - day_now), own, now);
+  const UnixTime unix_now = unixTime();
+  for (const QuarantinedRequest& recorded : record.quarantined) {
+    const UnixTime until = std::chrono::seconds(recorded.until_s);
+    quarantine_.onRecorded(recorded.request, now + (until - unix_now), own, now);
   }
   reportChanges("record");
 }
 
 std::vector<QuarantinedRequest> QuarantineCoordinator::requestsToRecord() const {
-  std::vector<CrashQuarantine::Quarantined> named = quarantine_.quarantined();
-  std::erase_if(named, [](const auto& one) { return !one.recorded_here; });
-  std::sort(named.begin(), named.end(), [](const auto& left, const auto& right) { return left.until > right.until; });
-  named.resize(std::min(named.size(), kMaxRecordedRequests));
+  std::vector<CrashQuarantine::Quarantined> selected = quarantine_.quarantined();
+  std::erase_if(selected, [](const auto& one) { return !one.recorded_here; });
+  std::sort(selected.begin(), selected.end(),
+            [](const auto& left, const auto& right) { return left.until > right.until; });
+  selected.resize(std::min(selected.size(), kMaxRecordedRequests));
   const TimePoint now = ports_.clock->now();
-  const TimeOfDay day_now = timeOfDay();
+  const UnixTime unix_now = unixTime();
   std::vector<QuarantinedRequest> recorded;
-  for (const CrashQuarantine::Quarantined& one : named) {
-    // In whole minutes: the two clocks' jitter must not change the record.
-    const TimeOfDay until = day_now + std::max(one.until - now, Duration::zero());
+  for (const CrashQuarantine::Quarantined& one : selected) {
+    // Rounded up to whole minutes, so that jitter between the two clocks does not change the record.
+    const UnixTime until = unix_now + std::max(one.until - now, Duration::zero());
     const auto minutes = std::chrono::ceil<std::chrono::minutes>(until);
     recorded.push_back({one.request, static_cast<std::uint64_t>(std::chrono::seconds(minutes).count())});
   }
@@ -109,7 +110,7 @@
   }
   next_expiry_ = now + kExpiryInterval;
   if (quarantine_.forget(now)) {
-    reportChanges("time-over");
+    reportChanges("expired");
   }
 }
 
@@ -117,23 +118,23 @@
   if (!quarantine_.isActive() && last_quarantined_.empty()) {
     return;
   }
-  std::vector<RequestFingerprint> present;
+  std::vector<RequestFingerprint> current;
   for (const CrashQuarantine::Quarantined& one : quarantine_.quarantined()) {
-    present.push_back(one.request);
+    current.push_back(one.request);
     if (!std::binary_search(last_quarantined_.begin(), last_quarantined_.end(), one.request)) {
       ports_.metrics->onEvent("request-quarantined");
       ports_.log->write("quarantine", "begins",
                         {{"fingerprint", toString(one.request)}, {"ends", textOf(one.ends)}, {"cause", cause}});
     }
   }
-  for (const RequestFingerprint& before : last_quarantined_) {
-    if (!std::binary_search(present.begin(), present.end(), before)) {
+  for (const RequestFingerprint& previous : last_quarantined_) {
+    if (!std::binary_search(current.begin(), current.end(), previous)) {
       ports_.metrics->onEvent("request-released");
-      ports_.log->write("quarantine", "over", {{"fingerprint", toString(before)}, {"cause", cause}});
+      ports_.log->write("quarantine", "over", {{"fingerprint", toString(previous)}, {"cause", cause}});
     }
   }
-  const bool changed = present != last_quarantined_;
-  last_quarantined_ = std::move(present);
+  const bool changed = current != last_quarantined_;
+  last_quarantined_ = std::move(current);
   if (changed) {
     ports_.on_change();
   }
--- a/source/router/quarantine_coordinator.h
+++ b/source/router/quarantine_coordinator.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Keeps all processes of one mind about requests under which servers end: sees the ends of the server beside this one,
-/// tells the others, hears from them, and says what this node's record is to name.
+/// Distributes the quarantine of requests that crash servers: observes crashes of the local server, exchanges crash
+/// reports with peers, and determines which quarantined requests are stored in this node's record.
 
 #include <functional>
 #include <vector>
@@ -14,18 +14,18 @@
 
 namespace shedlever {
 
-/// News go over the streams between processes, twice where two processes have a stream each, and past any process that
-/// is cut off. What is quarantined also stands in the records of the nodes that saw one of the ends, which outlive all
-/// processes; that costs a write of two or three records a request, and nothing while there is none.
+/// Crash reports are flooded over the streams between processes, so that they also reach processes to which the sender
+/// has no connection. A process may receive a report more than once. Quarantined requests are also stored in the
+/// records of the nodes that observed one of the crashes; node records survive the failure of all processes.
 class QuarantineCoordinator {
  public:
   struct Ports {
     const Clock* clock = nullptr;
     EventLog* log = nullptr;
     RouterMetrics* metrics = nullptr;
-    /// Tells all processes that a stream leads to or from.
+    /// Sends a frame over the streams of all connected peers.
     std::function<void(const ServerCrashesFrame&)> broadcast;
-    /// Requests are quarantined that were not, or are free again.
+    /// Called when the set of quarantined requests has changed.
     std::function<void()> on_change;
   };
 
@@ -35,31 +35,31 @@
 
   const CrashQuarantine& quarantine() const { return quarantine_; }
 
-  /// A life of the server beside this process ended that had not said that it leaves.
+  /// An instance of the local server ended that had not announced its shutdown.
   void onServerCrash(const InstanceId& instance, const std::vector<RequestFingerprint>& unanswered);
-  /// The server beside this process has answered the request.
+  /// The local server has answered the request without a server error.
   void onServed(const RequestFingerprint& request);
-  /// Another process has told this.
-  void onCrashesFrame(const ServerCrashesFrame& told);
-  /// A node's record was read. @param own of this node.
+  /// A peer has sent crash reports.
+  void onCrashesFrame(const ServerCrashesFrame& received);
+  /// A node record was read. @param own whether it is this node's record.
   void onRecord(const NodeRecord& record, bool own);
 
-  /// @return what a process is to be told that has just been reached.
+  /// @return the frame for a peer that has just been connected.
   ServerCrashesFrame summary() const { return quarantine_.summary(ports_.clock->now()); }
-  /// @return what this node's record is to name.
+  /// @return the quarantined requests that this node's record is to contain.
   std::vector<QuarantinedRequest> requestsToRecord() const;
 
-  /// Forgets what is old. Every 50 ms or so.
+  /// Removes expired state. Called about every 50 ms.
   void tick();
 
  private:
-  /// Logs what has become quarantined or free, and says so.
+  /// Logs changes of the set of quarantined requests and calls `on_change`.
   void reportChanges(const char* cause);
 
   CrashQuarantine quarantine_;
   Ports ports_;
   TimePoint next_expiry_{};
-  /// Quarantined when that was last looked at.
+  /// The quarantined requests at the last call of `reportChanges`.
   std::vector<RequestFingerprint> last_quarantined_;
 };
 
--- a/source/router/router_metrics.cc
+++ b/source/router/router_metrics.cc
@@ -33,7 +33,7 @@
   return "unknown";
 }
 
-/// The store's answer in a word.
+/// @return the outcome label for a status of the store.
 const char* wordOf(int status) {
   constexpr int kConflict = 409;
   constexpr int kFirstError = 400;
@@ -50,7 +50,7 @@
 
 prometheus::Counter& RouterMetrics::CounterFamily::at(const std::string& key,
                                                       const std::function<prometheus::Labels()>& labels) {
-  prometheus::Counter*& counter = found[key];
+  prometheus::Counter*& counter = by_key[key];
   if (counter == nullptr) {
     counter = &family.Add(labels());
   }
@@ -163,30 +163,30 @@
 
 void RouterMetrics::onEvent(const std::string& event) { events_.at("event", event).Increment(); }
 
-std::string RouterMetrics::text(const RouterGauges& levels) {
-  slots_.Set(levels.load.slots);
-  running_.Set(levels.load.running);
-  waiting_.Set(levels.load.queued);
-  link_wait_.Set(levels.load.link_busy_ms / kMillisecondsPerSecond);
-  in_flight_.Set(static_cast<double>(levels.in_flight));
-  nodes_.Set(static_cast<double>(levels.nodes));
-  peer_streams_.Set(static_cast<double>(levels.peer_streams));
-  config_version_.Set(static_cast<double>(levels.config_version));
-  config_age_.Set(secondsOf(levels.config_age));
-  config_staleness_.Set(secondsOf(levels.config_staleness));
-  nodes_staleness_.Set(secondsOf(levels.nodes_staleness));
-  owner_table_.Set(static_cast<double>(levels.owner_table_revision));
-  store_era_.Set(static_cast<double>(levels.store_era));
-  owned_ranges_.Set(static_cast<double>(levels.owned_ranges));
-  acknowledgements_.Set(static_cast<double>(levels.heartbeats.acknowledgements));
-  keyless_acknowledgements_.Set(static_cast<double>(levels.heartbeats.silent));
-  released_.Set(static_cast<double>(levels.heartbeats.released));
-  lapsed_.Set(static_cast<double>(levels.heartbeats.lapsed));
-  lease_left_.Set(secondsOf(levels.lease_left));
-  store_reached_.Set(levels.store_reached ? 1 : 0);
-  log_lines_dropped_.Set(static_cast<double>(levels.log_lines_dropped));
-  quarantined_.Set(static_cast<double>(levels.quarantined));
-  server_crashes_remembered_.Set(static_cast<double>(levels.server_crashes));
+std::string RouterMetrics::text(const RouterGauges& gauges) {
+  slots_.Set(gauges.load.slots);
+  running_.Set(gauges.load.running);
+  waiting_.Set(gauges.load.queued);
+  link_wait_.Set(gauges.load.link_busy_ms / kMillisecondsPerSecond);
+  in_flight_.Set(static_cast<double>(gauges.in_flight));
+  nodes_.Set(static_cast<double>(gauges.nodes));
+  peer_streams_.Set(static_cast<double>(gauges.peer_streams));
+  config_version_.Set(static_cast<double>(gauges.config_version));
+  config_age_.Set(secondsOf(gauges.config_age));
+  config_staleness_.Set(secondsOf(gauges.config_staleness));
+  nodes_staleness_.Set(secondsOf(gauges.nodes_staleness));
+  owner_table_.Set(static_cast<double>(gauges.owner_table_revision));
+  store_era_.Set(static_cast<double>(gauges.store_era));
+  owned_ranges_.Set(static_cast<double>(gauges.owned_ranges));
+  acknowledgements_.Set(static_cast<double>(gauges.heartbeats.acknowledgements));
+  keyless_acknowledgements_.Set(static_cast<double>(gauges.heartbeats.silent));
+  released_.Set(static_cast<double>(gauges.heartbeats.released));
+  lapsed_.Set(static_cast<double>(gauges.heartbeats.lapsed));
+  lease_left_.Set(secondsOf(gauges.lease_left));
+  store_reached_.Set(gauges.store_reached ? 1 : 0);
+  log_lines_dropped_.Set(static_cast<double>(gauges.log_lines_dropped));
+  quarantined_.Set(static_cast<double>(gauges.quarantined));
+  server_crashes_remembered_.Set(static_cast<double>(gauges.server_crashes));
   return metricsText(registry_);
 }
 
--- a/source/router/router_metrics.h
+++ b/source/router/router_metrics.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Counters, gauges and histograms of one router process.
+/// Prometheus counters, gauges and histograms of a router process.
 
 #include <prometheus/counter.h>
 #include <prometheus/family.h>
@@ -21,38 +21,38 @@
 
 namespace shedlever {
 
-/// How a client's request ended.
+/// The end of a client's request.
 struct RequestEnd {
   const ServiceName& service;
   const std::string& route;
   /// "answered", "refused", "failed", ...
   std::string_view outcome;
   ForwardReason reason = ForwardReason::None;
-  /// From its arrival to its final answer.
+  /// Time from the request's arrival to its final response.
   Duration elapsed{};
 };
 
-/// What stands at the moment when the metrics are read.
+/// Values of the gauges at the time of a scrape.
 struct RouterGauges {
   ServerLoad load;
   std::size_t in_flight = 0;
   std::size_t nodes = 0;
   std::size_t peer_streams = 0;
   ConfigVersion config_version = 0;
-  /// Since the configuration in force was taken over.
+  /// Time since the active configuration was adopted.
   Duration config_age{};
-  /// Since the configuration and the node records that are known were the newest for sure.
+  /// Time since the known configuration and node records were last known to be current.
   Duration config_staleness{};
   Duration nodes_staleness{};
   std::uint64_t owner_table_revision = 0;
   StoreEpoch store_era = 0;
   std::size_t owned_ranges = 0;
-  /// Where the server takes its keys by heartbeat.
+  /// For a server that receives its keys by heartbeat.
   HeartbeatGrantCounts heartbeats;
   Duration lease_left{};
   bool store_reached = false;
   std::uint64_t log_lines_dropped = 0;
-  /// Requests that are kept from servers, and ends of servers that are remembered.
+  /// Number of quarantined requests and of remembered server crashes.
   std::size_t quarantined = 0;
   std::size_t server_crashes = 0;
 };
@@ -61,31 +61,31 @@
  public:
   RouterMetrics();
 
-  /// A client's request has had its final answer.
+  /// A client's request was sent its final response.
   void onRequest(const RequestEnd& end);
-  /// A client's request was refused before it had a route.
+  /// A client's request was refused before it was dispatched.
   void onRefusedAtOnce(Reason reason);
-  /// A request goes to another server, or to the same one again.
+  /// An attempt did not end its request.
   void onRetry(ForwardReason reason);
-  /// The gate did not begin a request.
+  /// The gate refused a request.
   void onGateRefusal(ForwardReason reason);
-  /// A request that was begun has ended at the server beside this process.
+  /// A request that was sent to the local server has ended.
   void onServerRequestEnd(ForwardOutcome outcome, ForwardReason reason, Duration queued, Duration ran);
-  /// A call to the store has ended. @param status of the answer; 0 when there was none.
+  /// A call to the store has ended. @param status of the response; 0 if there was none.
   void onStoreCall(const std::string& method, int status, Duration took);
-  /// The process changed what it believes.
+  /// An event occurred that changes the state of the process.
   void onEvent(const std::string& event);
 
-  /// @return all metrics in Prometheus's text format.
-  std::string text(const RouterGauges& levels);
+  /// @return all metrics in the Prometheus text format.
+  std::string text(const RouterGauges& gauges);
 
  private:
   using Counters = std::map<std::string, prometheus::Counter*, std::less<>>;
 
-  /// Counters told apart by labels. Found once by a key: a look-up by labels costs more than the rest of the count.
+  /// Counters distinguished by labels, cached by a string key because a lookup by labels is expensive.
   struct CounterFamily {
     prometheus::Family<prometheus::Counter>& family;
-    Counters found;
+    Counters by_key;
 
     prometheus::Counter& at(const std::string& key, const std::function<prometheus::Labels()>& labels);
     prometheus::Counter& at(const char* label, const std::string& value);
--- a/source/router/server_gate.cc
+++ b/source/router/server_gate.cc
@@ -10,23 +10,23 @@
 
 namespace {
 
-/// Connections in a row that don't come about before the server counts as silent.
+/// Consecutive failed connections after which the server counts as silent.
 constexpr unsigned kFailedConnectionsUntilSilent = 2;
-/// Requests that could be begun end at least so long before their deadline.
+/// A request with less time left than this is refused instead of started.
 constexpr Duration kMinRemaining = std::chrono::milliseconds(5);
 constexpr Duration kKeyRetryAfter = std::chrono::milliseconds(100);
-/// Servers report themselves once a second, some less often.
+/// Exceeds the interval between server reports, which is usually one second.
 constexpr Duration kAssumedColdDuration = std::chrono::milliseconds(1500);
 constexpr double kPermille = 1000.0;
 constexpr double kHundredths = 100.0;
 
 }  // namespace
 
-ServerGate::ServerGate(const Clock& clock, const QueueConfig& config, ServerClient& link, LinkBacklog machine_link,
-                       GateRecorder& recorder, GateEvents events)
+ServerGate::ServerGate(const Clock& clock, const QueueConfig& config, ServerClient& server_client,
+                       LinkBacklog machine_link, GateRecorder& recorder, GateEvents events)
     : clock_(clock),
       config_(config),
-      link_(link),
+      server_client_(server_client),
       machine_link_(std::move(machine_link)),
       recorder_(recorder),
       events_(std::move(events)) {}
@@ -95,7 +95,7 @@
 }
 
 void ServerGate::endInstance() {
-  // A server that leaves ends by plan, whatever it still runs.
+  // The end of a draining server is expected, even if it still runs requests.
   if (instance_.empty() || draining_) {
     unanswered_.clear();
     return;
@@ -129,10 +129,10 @@
   refuseQueuedIf([end](const Entry& entry) { return entry.deadline > end; }, ForwardReason::Draining);
 }
 
-void ServerGate::refuseQueuedIf(const std::function<bool(const Entry&)>& fits, ForwardReason reason) {
+void ServerGate::refuseQueuedIf(const std::function<bool(const Entry&)>& predicate, ForwardReason reason) {
   std::vector<QueueTicket> tickets;
   for (const auto& [ticket, entry] : entries_) {
-    if (!entry.running && fits(entry)) {
+    if (!entry.running && predicate(entry)) {
       tickets.push_back(ticket);
     }
   }
@@ -173,10 +173,10 @@
   if (frame.instance != instance_) {
     return ForwardReason::WrongInstance;
   }
-  // A process may still own keys when it ends, if others have stopped with it. Its last requests would be cut at the
-  // server: four of 124 stops on a deployment of 59 nodes, two or three of which stop each second, end that way.
-  const bool may_be_cut = deadline > process_end_;
-  if (may_be_cut || (draining_ && (!frame.keyed || keyed_requests_stopped_))) {
+  // A process may still own keys when it exits, for example if many nodes stop at the same time. Requests that could
+  // outlast the process are refused, since the server's response would be lost.
+  const bool may_be_interrupted = deadline > process_end_;
+  if (may_be_interrupted || (draining_ && (!frame.keyed || keyed_requests_stopped_))) {
     return ForwardReason::Draining;
   }
   if (!frame.keyed) {
@@ -208,12 +208,12 @@
   }
   if (frame.keyed && ownership_manager_ != nullptr) {
     const OwnerHint hint = ownership_manager_->hintFor(frame.key);
-    // A key that is this server's, but not granted yet, is waited for; only who named an earlier life asks again at
-    // once.
+    // No hint for a key that is assigned to this server but not granted yet, so that the sender waits. Only a sender
+    // that addressed an earlier instance is to retry immediately.
     const bool waits_here = hint.owner == instance_ && reason != ForwardReason::WrongInstance;
     reply.hint = waits_here ? OwnerHint{} : hint;
   }
-  GateInputs inputs{instance_, reply.load, longestWait(frame), 0, {}};
+  GateInputs inputs{instance_, reply.load, maxWait(frame), 0, {}};
   if (frame.keyed && ownership_manager_ != nullptr) {
     inputs.table = ownership_manager_->tableWriter().revision();
     inputs.lease_left = std::max(ownership_manager_->leaseUntil() - clock_.now(), Duration::zero());
@@ -242,13 +242,13 @@
   const Key range = rangeStartOf(frame.key);
   key_waits_.noteWaiting(range, now);
   const Duration expected = key_waits_.expectedLeft(range, now);
-  const Duration longest = longestWait(frame);
-  if (expected > longest) {
+  const Duration max_wait = maxWait(frame);
+  if (expected > max_wait) {
     done(refusal(frame, ForwardReason::NotYetOwner, std::max(expected, kKeyRetryAfter)));
     return;
   }
   const TimePoint deadline = now + Duration(frame.remaining_us);
-  held_.emplace(ticket, HeldRequest{std::move(frame), std::move(done), now + longest, deadline});
+  held_.emplace(ticket, HeldRequest{std::move(frame), std::move(done), now + max_wait, deadline});
 }
 
 bool ServerGate::isKeyInTransit(Key key, TimePoint now) const {
@@ -300,17 +300,17 @@
     ownership_manager_->onKeyRequest(frame.key, now);
   }
   const Duration remaining(frame.remaining_us);
-  const Duration longest_wait = longestWait(frame);
+  const Duration max_wait = maxWait(frame);
   const double expected_bytes = answer_sizes_.expected(frame.kind);
   if (expected_bytes > 0) {
     const Duration link_wait = machine_link_.transfer_time(expected_bytes_);
-    if (link_wait > longest_wait) {
+    if (link_wait > max_wait) {
       done(refusal(frame, ForwardReason::Overloaded, link_wait));
       return;
     }
   }
   const QueueRank rank{frame.priority, 0, Duration(frame.target_us), now + remaining};
-  const QueueDecision decision = queue_.arrive(ticket, frame.tenant, rank, now, longest_wait);
+  const QueueDecision decision = queue_.arrive(ticket, frame.tenant, rank, now, max_wait);
   if (decision.verdict == QueueVerdict::Refuse || decision.verdict == QueueVerdict::TenantFull) {
     const bool tenant_full = decision.verdict == QueueVerdict::TenantFull;
     done(refusal(frame, tenant_full ? ForwardReason::QueueFull : ForwardReason::Overloaded, decision.predicted_wait));
@@ -328,10 +328,10 @@
   }
 }
 
-Duration ServerGate::longestWait(const ForwardFrame& frame) const {
+Duration ServerGate::maxWait(const ForwardFrame& frame) const {
   const Duration expected = service_times_.expected(frame.route, queue_.meanService());
   const Duration until_caller_leaves = Duration(frame.remaining_us) - expected;
-  // What it has waited elsewhere counts.
+  // The time since arrival at the gateway counts towards the latency objective.
   const Duration until_late = Duration(frame.target_us) - Duration(frame.elapsed_us) - expected;
   return std::min(std::max(until_late, config_.least_wait_limit), until_caller_leaves);
 }
@@ -358,8 +358,8 @@
     head.key = entry.frame.key;
   }
   ServerRequest request{std::move(entry.frame.http), std::move(head)};
-  entry.exchange =
-      link_.send(std::move(request), [this, ticket](ServerResult result) { onResult(ticket, std::move(result)); });
+  entry.exchange = server_client_.send(std::move(request),
+                                       [this, ticket](ServerResult result) { onResult(ticket, std::move(result)); });
 }
 
 void ServerGate::onResult(QueueTicket ticket, ServerResult result) {
@@ -436,10 +436,10 @@
 }
 
 void ServerGate::recordFailure(const ServerResult& result) {
-  // What the caller took back, and keys that are elsewhere, say nothing about the server.
-  const bool says_nothing = result.reason == ForwardReason::Cancelled || result.reason == ForwardReason::NotOwner ||
+  // Cancelled requests and requests for keys or instances that are elsewhere don't indicate a fault of the server.
+  const bool is_unrelated = result.reason == ForwardReason::Cancelled || result.reason == ForwardReason::NotOwner ||
                             result.reason == ForwardReason::WrongInstance;
-  if (!says_nothing) {
+  if (!is_unrelated) {
     failures_.note(!result.succeeded(), clock_.now());
   }
 }
@@ -487,8 +487,8 @@
   }
   entry.abandoned = true;
   if (isRepeatable(entry.frame.kind)) {
-    // Ends as cancelled, from the loop; its slot is free then.
-    link_.cancel(entry.exchange);
+    // The request ends as cancelled, from the event loop, which then frees its slot.
+    server_client_.cancel(entry.exchange);
   }
 }
 
@@ -516,7 +516,7 @@
     return;
   }
   probing_ = true;
-  link_.identify(health_path_, [this](const ServerId& server, bool refused) {
+  server_client_.identify(health_path_, [this](const ServerId& server, bool refused) {
     probing_ = false;
     if (refused) {
       events_.server_gone();
--- a/source/router/server_gate.h
+++ b/source/router/server_gate.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /// @file
-/// The only way to the server beside this process: counts its slots, queues, and begins a request only if the server
-/// is the right one, is not leaving and holds the request's key.
+/// Admission control for the local server (the server on this process's node). Every request for the server passes
+/// through the gate, which counts slots, queues requests, and starts a request only if the addressed instance is
+/// running, is not draining and holds the request's key.
 
 #include <functional>
 #include <limits>
@@ -27,92 +28,94 @@
 
 namespace shedlever {
 
-/// Where forwarded requests end: at this process's gate or at another's.
+/// Receives the reply to a forwarded request, whether from the local gate or from a peer.
 using ForwardCallback = std::function<void(ForwardReplyFrame)>;
 
-/// What the machine's link has to carry; the gate refuses large answers that it could not.
+/// Backlog of the machine's network link. The gate refuses requests whose large responses the link could not carry in
+/// time.
 struct LinkBacklog {
-  /// @return how long the link takes for what waits and so many bytes more; zero where it is never the limit.
+  /// @return how long the link needs for its backlog plus `more_bytes`; zero where the link is not a bottleneck.
   std::function<Duration(double more_bytes)> transfer_time;
 };
 
 struct GateEvents {
-  /// Nothing listens at the server's address: it is dead for sure.
+  /// The server's address refuses connections, so the server is certainly not running.
   std::function<void()> server_gone;
-  /// The server has been silent, or answers again.
+  /// The server has become silent, that is, unresponsive, or responds again.
   std::function<void(bool silent)> silence_changed;
-  /// A life of the server has ended that had not said that it leaves. @param unanswered what it may have been at work
-  /// on.
+  /// An instance ended that had not announced its shutdown. @param unanswered requests that it may have been
+  /// processing.
   std::function<void(const InstanceId& instance, const std::vector<RequestFingerprint>& unanswered)> server_crashed;
-  /// The server has run the request to a good end.
+  /// The server has answered the request without a server error.
   std::function<void(const RequestFingerprint& request)> served;
 };
 
 class ServerGate {
  public:
-  /// @param keeper null for a service that is not divided by key. All outlive the gate.
-  ServerGate(const Clock& clock, const QueueConfig& config, ServerClient& link, LinkBacklog machine_link,
+  /// @param clock, config, server_client, recorder outlive the gate.
+  ServerGate(const Clock& clock, const QueueConfig& config, ServerClient& server_client, LinkBacklog machine_link,
              GateRecorder& recorder, GateEvents events);
 
-  /// Which requests are not begun; none are kept back before this is set. @param quarantine outlives the gate.
+  /// Sets the source of quarantined requests, which are refused; before, none are. @param quarantine outlives the gate.
   void setQuarantine(const CrashQuarantine& quarantine) { quarantine_ = &quarantine; }
-  /// More requests are quarantined, or fewer: those of them that wait are given back.
+  /// The set of quarantined requests has changed: refuses those of them that are queued.
   void onQuarantineChanged();
 
-  /// Where the standing of keys is asked; null while the service is not divided by key.
-  void setOwnershipManager(OwnershipKeeper* keeper) { ownership_manager_ = keeper; }
+  /// Sets the source of key ownership; null while the service has no keys.
+  void setOwnershipManager(OwnershipKeeper* manager) { ownership_manager_ = manager; }
 
-  /// Where the server is asked whether it lives.
+  /// Path of the server's health check.
   void setHealthPath(const std::string& path) { health_path_ = path; }
   const std::string& healthPath() const { return health_path_; }
 
-  /// However many slots it reports, no more are used.
+  /// Limits the slots in use, whatever number the server reports.
   void setMaxSlots(std::uint32_t slots);
 
-  /// A server runs, by its own report.
+  /// Handles a server's report that it is running.
   void serverUp(const InstanceId& instance, std::uint32_t slots);
-  /// @param per_second requests that the server bears while it is cold; 0: as many as it has slots for.
+  /// @param per_second request rate limit while the server is cold; 0: limited only by its slots.
   void setColdRate(double per_second);
-  /// The server is cold for so much longer, by its own report.
+  /// Sets how much longer the server is cold, from its report.
   void setCold(Duration left);
-  /// It may have turned cold: taken for cold until its next report.
+  /// The server may have become cold: treats it as cold until its next report.
   void assumeCold();
-  /// The server ran before this process did: others may have begun as many requests as it bears.
+  /// The server started before this process: an earlier process may have used up the server's request rate.
   void assumeStartsUsedUp() { queue_.assumeStartsUsedUp(clock_.now()); }
-  /// It has ended: nothing more is begun, what waits is given back.
+  /// The server has ended: refuses queued requests and starts no more.
   void serverEnded();
-  /// It leaves: nothing more is begun, what waits is given back; keyed requests go on until `stopKeyedRequests`.
+  /// The server is draining: refuses requests without a key, queued ones included. Requests with a key are still
+  /// started until `stopKeyedRequests`.
   void startDraining();
-  /// From now on keyed requests are not begun either.
+  /// Refuses requests with a key from now on, queued ones included.
   void stopKeyedRequests();
-  /// What is not to be begun any more is given back; what runs goes on.
+  /// Refuses requests that the evacuation excludes, queued ones included; running requests continue.
   void setEvacuation(Evacuation evacuation);
   Evacuation evacuation() const { return evacuation_; }
-  /// The process ends then: from now on only requests are begun whose time is over before that, so that none is cut
-  /// while the server works on it. What waits and may outlast it is given back.
+  /// Sets the time at which the process exits. From now on only requests with an earlier deadline are started, so that
+  /// none is interrupted; queued requests with a later deadline are refused.
   void setProcessEnd(TimePoint end);
 
-  /// Takes a request for the server.
-  /// @param done runs from the loop or inside the call, once, unless the request is cancelled.
+  /// Accepts a request for the server.
+  /// @param done runs once, from the loop or inside the call, unless the request is cancelled.
   QueueTicket forward(ForwardFrame frame, ForwardCallback done);
 
-  /// The client is gone or its time is over. What runs and may not be repeated is left to end.
+  /// The client disconnected or the deadline has passed. A running request that is not repeatable runs to its end.
   void cancel(QueueTicket ticket);
 
-  /// @return whether the request has been sent to the server; false for one that has ended.
+  /// @return whether the request has been sent to the server and has not ended.
   bool isRunning(QueueTicket ticket) const;
 
-  /// @return what the requests for the server's keys ask of it.
+  /// @return the load that the requests for the server's keys offer to the server.
   OfferedWork offeredWork() const;
 
-  /// The standing of keys has changed: requests that are held for it go on.
+  /// Key ownership has changed: retries the requests that are held for it.
   void onKeysChanged();
 
-  /// Gives back what has waited too long; notices a silent server. Every 25 ms or so.
+  /// Refuses requests that have waited too long and probes a silent server. Called about every 25 ms.
   void tick();
 
   ServerLoad load() const;
-  /// @return share of the server's requests that fail of late.
+  /// @return share of the server's recent requests that failed.
   double failureRatio() const { return failures_.share(clock_.now()); }
   const InstanceId& instance() const { return instance_; }
   bool draining() const { return draining_; }
@@ -127,16 +130,16 @@
     TimePoint arrived{};
     TimePoint started{};
     bool running = false;
-    /// Known once it runs.
+    /// Set when the request is started.
     RequestFingerprint fingerprint;
-    /// The caller is gone; the answer goes nowhere.
+    /// The request was cancelled; the response is discarded.
     bool abandoned = false;
     HttpExchangeId exchange = 0;
-    /// Bytes of a large answer that is to be expected; 0 for others.
+    /// Expected size of a large response in bytes; 0 for other requests.
     double expected_bytes = 0;
   };
 
-  /// A keyed request whose key moves, or is not granted yet.
+  /// A request whose key is being transferred or is not granted yet.
   struct HeldRequest {
     ForwardFrame frame;
     ForwardCallback done;
@@ -146,36 +149,37 @@
 
   void applySlots();
   void applyColdLimit();
-  /// The present life of the server is over; another one runs, or none.
+  /// The current instance has ended; another one is running, or none.
   void endInstance();
-  /// What a request's end says of what the server was at work on.
+  /// Updates the record of unanswered requests after a request ended at the server.
   void trackUnanswered(QueueTicket ticket, const RequestFingerprint& fingerprint, const ServerResult& result);
   void admit(QueueTicket ticket, ForwardFrame frame, ForwardCallback done);
-  /// Holds a request whose key is on its way, if it can still be served in time.
+  /// Holds a request whose key is in transit if it can still be served in time; refuses it otherwise.
   void holdForKey(QueueTicket ticket, ForwardFrame frame, ForwardCallback done);
   void retryHeld(QueueTicket ticket);
-  /// @return whether the key is on its way to or from the server.
+  /// @return whether the key is being transferred to or from the server.
   bool isKeyInTransit(Key key, TimePoint now) const;
-  /// @return the first key of the range that the key lies in.
+  /// @return the first key of the owned range that contains the key; the key itself if there is none.
   Key rangeStartOf(Key key) const;
-  /// @return how long the request may wait for a slot and still be served in time; negative if it can't be.
-  Duration longestWait(const ForwardFrame& frame) const;
-  /// @param deadline when the request's time is over.
+  /// @return how long the request may wait for a slot and still be served in time; negative if it can't be served in
+  /// time.
+  Duration maxWait(const ForwardFrame& frame) const;
+  /// @param deadline of the request. @return why the request must not be started; None if it may be.
   ForwardReason refusalReason(const ForwardFrame& frame, TimePoint deadline, TimePoint now) const;
-  /// @return how much longer the request is kept from servers; none if it may be sent.
+  /// @return remaining quarantine of the request; std::nullopt if it is not quarantined.
   std::optional<Duration> quarantineLeft(const ForwardFrame& frame) const;
-  /// @return whether the request may not be begun as the server's zone is evacuated.
+  /// @return whether the request must not be started because the server's zone is evacuated.
   bool isEvacuated(const ForwardFrame& frame) const;
-  /// Gives back what waits and fits.
-  void refuseQueuedIf(const std::function<bool(const Entry&)>& fits, ForwardReason reason);
+  /// Refuses the queued requests that satisfy the predicate.
+  void refuseQueuedIf(const std::function<bool(const Entry&)>& predicate, ForwardReason reason);
   void startRequest(QueueTicket ticket);
   void onResult(QueueTicket ticket, ServerResult result);
-  /// Takes an entry out, and what it was expected to bring.
+  /// Removes and returns an entry, and subtracts its expected bytes from the total.
   std::optional<Entry> takeEntry(QueueTicket ticket);
   void startQueued();
   void refuseQueued(QueueTicket ticket, ForwardReason reason, Duration retry_after);
   void refuseAllQueued(ForwardReason reason);
-  /// Makes a refusal and records what decided it.
+  /// Makes the reply for a refused request and records the refusal.
   ForwardReplyFrame refusal(const ForwardFrame& frame, ForwardReason reason, Duration retry_after);
   void updateReachability(const ServerResult& result);
   void recordFailure(const ServerResult& result);
@@ -183,7 +187,7 @@
 
   const Clock& clock_;
   const QueueConfig& config_;
-  ServerClient& link_;
+  ServerClient& server_client_;
   LinkBacklog machine_link_;
   GateRecorder& recorder_;
   GateEvents events_;
@@ -192,7 +196,7 @@
   KeyWaits key_waits_;
   FailureMeter failures_;
   UnansweredRequests unanswered_;
-  /// Sum over all entries.
+  /// Expected response bytes of all entries.
   double expected_bytes_ = 0;
   OwnershipKeeper* ownership_manager_ = nullptr;
   const CrashQuarantine* quarantine_ = nullptr;
@@ -200,18 +204,18 @@
   SlotQueue queue_{0};
   std::uint32_t reported_slots_ = 0;
   std::uint32_t max_slots_ = std::numeric_limits<std::uint32_t>::max();
-  /// Requests a second; 0: no limit.
+  /// Requests per second; 0: no limit.
   double cold_rate_ = 0;
   TimePoint cold_until_{};
   InstanceId instance_;
   bool draining_ = false;
   bool keyed_requests_stopped_ = false;
   Evacuation evacuation_ = Evacuation::None;
-  /// When the process ends; the end of time while it does not stop.
+  /// When the process exits; TimePoint::max() while it is not stopping.
   TimePoint process_end_ = TimePoint::max();
   bool silent_ = false;
   bool probing_ = false;
-  /// Connections in a row that did not come about.
+  /// Number of consecutive failed connection attempts.
   unsigned failed_connections_ = 0;
   TimePoint last_answer_{};
   QueueTicket last_ticket_ = 0;
--- a/source/router/server_link.cc
+++ b/source/router/server_link.cc
@@ -6,15 +6,15 @@
 
 namespace {
 
-/// More than any server's slots; the gate counts these.
+/// More than the slots of any server; the gate limits concurrent requests.
 constexpr std::size_t kMaxConnections = 512;
-constexpr std::size_t kOrderConnections = 8;
-/// The server is on this machine.
+constexpr std::size_t kCommandConnections = 8;
+/// Short, since the server is on the same machine.
 constexpr Duration kConnectTimeout = std::chrono::milliseconds(400);
-/// Longest rest of a connection; servers that say their own limit are believed.
+/// Maximum idle time of a connection, unless the server announces its own limit.
 constexpr Duration kIdleTimeout = std::chrono::milliseconds(7500);
 constexpr Duration kGrantTimeout = std::chrono::milliseconds(300);
-/// The server answers a release once the work on the keys has ended.
+/// The server responds to a release only after the last request for the keys has ended.
 constexpr Duration kReleaseTimeout = std::chrono::seconds(4);
 constexpr Duration kIdentifyTimeout = std::chrono::seconds(1);
 
@@ -29,10 +29,10 @@
   return config;
 }
 
-HttpClientConfig orderConfig(const Endpoint& server) {
+HttpClientConfig commandConfig(const Endpoint& server) {
   HttpClientConfig config;
   config.server = server;
-  config.connections = kOrderConnections;
+  config.connections = kCommandConnections;
   config.connect_timeout = kConnectTimeout;
   config.idle_timeout = kIdleTimeout;
   return config;
@@ -46,7 +46,7 @@
 }
 
 ServerClient::ServerClient(EventLoop& loop, const Endpoint& server, const ServerProtocol& protocol)
-    : protocol_(protocol), requests_(loop, requestConfig(server)), orders_(loop, orderConfig(server)) {}
+    : protocol_(protocol), requests_(loop, requestConfig(server)), commands_(loop, commandConfig(server)) {}
 
 HttpExchangeId ServerClient::send(ServerRequest request, std::function<void(ServerResult)> done) {
   protocol_.setRouterHeaders(request.http, request.head);
@@ -112,40 +112,40 @@
   return result;
 }
 
-void ServerClient::grant(const GrantCommand& order, std::function<void(CommandStatus)> done) {
-  orders_.send(protocol_.grantRequest(order), kGrantTimeout,
-               [this, done = std::move(done)](const HttpExchange& exchange) {
-                 if (exchange.status == HttpExchangeStatus::Complete) {
-                   done(protocol_.commandStatus(exchange.response));
-                 } else {
-                   done(exchange.refused ? CommandStatus::ServerGone : CommandStatus::NoAnswer);
-                 }
-               });
+void ServerClient::grant(const GrantCommand& command, std::function<void(CommandStatus)> done) {
+  commands_.send(protocol_.grantRequest(command), kGrantTimeout,
+                 [this, done = std::move(done)](const HttpExchange& exchange) {
+                   if (exchange.status == HttpExchangeStatus::Complete) {
+                     done(protocol_.commandStatus(exchange.response));
+                   } else {
+                     done(exchange.refused ? CommandStatus::ServerGone : CommandStatus::NoAnswer);
+                   }
+                 });
 }
 
-void ServerClient::release(const ReleaseCommand& order, std::function<void(ReleaseResult)> done) {
-  orders_.send(protocol_.releaseRequest(order), kReleaseTimeout,
-               [this, done = std::move(done)](const HttpExchange& exchange) {
-                 ReleaseResult result;
-                 if (exchange.status == HttpExchangeStatus::Complete) {
-                   result.status = protocol_.commandStatus(exchange.response);
-                   result.handover = protocol_.handoverOf(exchange.response);
-                 } else if (exchange.refused) {
-                   result.status = CommandStatus::ServerGone;
-                 }
-                 done(result);
-               });
+void ServerClient::release(const ReleaseCommand& command, std::function<void(ReleaseResult)> done) {
+  commands_.send(protocol_.releaseRequest(command), kReleaseTimeout,
+                 [this, done = std::move(done)](const HttpExchange& exchange) {
+                   ReleaseResult result;
+                   if (exchange.status == HttpExchangeStatus::Complete) {
+                     result.status = protocol_.commandStatus(exchange.response);
+                     result.handover = protocol_.handoverOf(exchange.response);
+                   } else if (exchange.refused) {
+                     result.status = CommandStatus::ServerGone;
+                   }
+                   done(result);
+                 });
 }
 
 void ServerClient::identify(const std::string& health_path, std::function<void(ServerId server, bool refused)> done) {
-  orders_.send(protocol_.healthRequest(health_path), kIdentifyTimeout,
-               [this, done = std::move(done)](const HttpExchange& exchange) {
-                 if (exchange.status == HttpExchangeStatus::Complete) {
-                   done(protocol_.serverIdOf(exchange.response), false);
-                 } else {
-                   done({}, exchange.refused);
-                 }
-               });
+  commands_.send(protocol_.healthRequest(health_path), kIdentifyTimeout,
+                 [this, done = std::move(done)](const HttpExchange& exchange) {
+                   if (exchange.status == HttpExchangeStatus::Complete) {
+                     done(protocol_.serverIdOf(exchange.response), false);
+                   } else {
+                     done({}, exchange.refused);
+                   }
+                 });
 }
 
 }  // namespace shedlever
--- a/source/router/server_link.h
+++ b/source/router/server_link.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Connections to the server beside this process: requests, orders about keys, and whether it is alive.
+/// HTTP client for the local server (the server on this process's node): requests, key commands and health checks.
 
 #include <functional>
 #include <memory>
@@ -12,20 +12,20 @@
 
 namespace shedlever {
 
-/// What became of a request at the server.
+/// Result of a request at the server.
 struct ServerResult {
   ForwardOutcome outcome = ForwardOutcome::Unknown;
   ForwardReason reason = ForwardReason::None;
-  /// Whether any of it was sent.
+  /// Whether any part of the request was sent.
   bool reached_server = false;
-  /// Nothing listens at the server's address.
+  /// The server's address refused the connection.
   bool server_gone = false;
   /// A connection could not be made in time.
   bool connect_failed = false;
   HttpResponse http;
 
-  /// @return whether the server has run the request to a good end. An error of its own is none: a server that gives up
-  ///   at the request's deadline says so before the request has done its harm.
+  /// @return whether the server answered without a server error (5xx). A server that gives up at the request's deadline
+  ///   responds with such an error, possibly before the request makes it crash.
   bool succeeded() const;
 };
 
@@ -36,19 +36,19 @@
 
 class ServerClient final : public ServerCommands {
  public:
-  /// @param protocol outlives the link.
+  /// @param loop, protocol outlive the client.
   ServerClient(EventLoop& loop, const Endpoint& server, const ServerProtocol& protocol);
 
-  /// @param done runs from the loop, once, unless the request is cancelled.
+  /// @param done runs exactly once, from the event loop, also after `cancel`.
   HttpExchangeId send(ServerRequest request, std::function<void(ServerResult)> done);
-  /// Closes the connection, at which most servers drop the request.
+  /// Closes the connection, on which most servers abort the request.
   void cancel(HttpExchangeId exchange);
 
-  void grant(const GrantCommand& order, std::function<void(CommandStatus)> done) override;
-  void release(const ReleaseCommand& order, std::function<void(ReleaseResult)> done) override;
+  void grant(const GrantCommand& command, std::function<void(CommandStatus)> done) override;
+  void release(const ReleaseCommand& command, std::function<void(ReleaseResult)> done) override;
 
-  /// Asks the server who it is.
-  /// @param done an empty id when there was no answer; `refused` when nothing listens.
+  /// Sends a health check that returns the server's id.
+  /// @param done receives an empty id if there was no response; `refused` if the connection was refused.
   void identify(const std::string& health_path, std::function<void(ServerId server, bool refused)> done);
 
  private:
@@ -56,7 +56,7 @@
 
   const ServerProtocol& protocol_;
   HttpClient requests_;
-  HttpClient orders_;
+  HttpClient commands_;
 };
 
 }  // namespace shedlever
--- a/source/router/status_pages.h
+++ b/source/router/status_pages.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What one router answers about itself: metrics, readiness, and the operators' status and drain.
+/// HTTP endpoints of a router process about itself: metrics, readiness, and the operators' status and drain endpoints.
 
 #include <functional>
 #include <optional>
@@ -13,23 +13,23 @@
 
 namespace shedlever {
 
-/// Operators' pages stand only where the product's own interface is used; the platform's has none.
+/// The status and drain endpoints exist only with the product's own interface, not with the platform's.
 class StatusPages {
  public:
   struct Ports {
     /// Outlives the pages.
     const ReportProtocol* reports = nullptr;
     std::function<bool()> ready;
-    /// In Prometheus's text format.
+    /// Metrics in the Prometheus text format.
     std::function<std::string()> metrics;
     std::function<NodeStatus()> status;
-    /// Empties the server beside the router.
+    /// Starts draining the local server.
     std::function<void()> drain;
   };
 
   StatusPages(InterfaceKind interface_kind, Ports ports);
 
-  /// @return the answer; 404 for a page that does not exist.
+  /// @return the response; status 404 if the endpoint does not exist.
   HttpResponse answer(const HttpRequest& request) const;
 
  private:
