--- a/test/router/event_log_test.cc
+++ b/test/router/event_log_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Structured log lines: their form, their bounds, and a reader that does not read.
+/// Format and rate limits of log lines, and a reader that does not read.
 
 #include "source/router/event_log.h"
 
@@ -44,7 +44,7 @@
   sim::VirtualTime time_;
 };
 
-TEST_F(EventLogTest, WritesOneLineWithTimesAndQuotedValues) {
+TEST_F(EventLogTest, LineContainsTimesAndQuotesValues) {
   EventLog log(loop_, time_, write_end_);
   log.write("part", "some event", {{"id", "r1"}, {"text", "a \"b\"\nc"}, {"empty", ""}});
   log.flush();
@@ -53,7 +53,7 @@
   EXPECT_NE(line.find(" t_us=100000000 id=r1 text=\"a \\\"b\\\" c\" empty=\"\"\n"), std::string::npos) << line;
 }
 
-TEST_F(EventLogTest, LinesAboutRequestsAreBoundedAndWhatIsLeftOutIsCounted) {
+TEST_F(EventLogTest, RequestLinesOverTheRateLimitAreDroppedAndCounted) {
   EventLog log(loop_, time_, write_end_);
   int kept = 0;
   constexpr int kRequests = 1000;
@@ -69,7 +69,7 @@
   EXPECT_EQ(kept, 150);
 }
 
-TEST_F(EventLogTest, ReaderThatDoesNotReadCostsLinesAndNeverBlocks) {
+TEST_F(EventLogTest, FullPipeDropsLinesWithoutBlocking) {
   EventLog log(loop_, time_, write_end_);
   const std::string long_value(10000, 'x');
   for (int i = 0; i < 100; ++i) {
--- a/test/router/fatal_request_test.cc
+++ b/test/router/fatal_request_test.cc
@@ -1,13 +1,6 @@
 /// @file
-/// One request under which servers end.
-///
-/// Seen on a deployment with four servers of a service divided by key: a few clients asked for the same thing every
-/// 0.3 s, at any machine, and each server that began it ended 0.1 s later. Three servers were gone within 2 s, and as
-/// each came back its key's request came back too: 37 lives ended in 85 s. No process remembered what a server had been
-/// at work on when it ended, so that each repeat went to the key's next owner as if nothing had been. Proved by the
-/// lines of the gates: 17 or 18 requests were lost in the same millisecond each time, one for the same key among them.
-///
-/// Three servers are what it takes to know such a request; three more may get it while that is told.
+/// Guards against a request that crashes every server that runs it, when clients repeat it at several nodes: it must be
+/// quarantined after three crashes. Up to three more servers may receive it until all processes know of the quarantine.
 
 #include <gtest/gtest.h>
 
@@ -19,7 +12,7 @@
 
 constexpr int kOk = 200;
 constexpr int kUnavailable = 503;
-constexpr std::size_t kMostBegun = 6;
+constexpr std::size_t kMaxStarts = 6;
 constexpr std::size_t kRepeats = 14;
 
 class FatalRequestTest : public ::testing::Test {
@@ -36,7 +29,7 @@
 
   RouterCluster::Node& node(std::size_t index) { return *cluster_.nodes()[index]; }
 
-  /// Asks again and again, at each machine in turn, each time with all servers back.
+  /// Sends the request repeatedly, at each node in turn, each time after all servers have restarted.
   void repeat(std::size_t times) {
     for (std::size_t i = 0; i < times; ++i) {
       last_ = cluster_.ask(node(i % cluster_.nodes().size()), fatal_path_, "7");
@@ -44,14 +37,14 @@
     }
   }
 
-  /// Repeats until no more servers end by it. @return how often it was begun.
-  std::size_t repeatUntilKnown() {
-    std::size_t begun = 0;
+  /// Repeats the request until it reaches no more servers. @return how often it was started.
+  std::size_t repeatUntilQuarantined() {
+    std::size_t started = 0;
     do {
-      begun = cluster_.fatalBegun();
+      started = cluster_.fatalBegun();
       repeat(cluster_.nodes().size());
-    } while (cluster_.fatalBegun() > begun);
-    return begun;
+    } while (cluster_.fatalBegun() > started);
+    return started;
   }
 
   std::string fatal_path_;
@@ -59,65 +52,65 @@
   ClientAnswer last_;
 };
 
-TEST_F(FatalRequestTest, OfAKeyReachesFewServers) {
+TEST_F(FatalRequestTest, RequestWithAKeyReachesFewServers) {
   start("/search/fatal");
   repeat(kRepeats);
   EXPECT_GE(cluster_.serversEnded(), 2U);
-  EXPECT_LE(cluster_.fatalBegun(), kMostBegun);
+  EXPECT_LE(cluster_.fatalBegun(), kMaxStarts);
 }
 
-TEST_F(FatalRequestTest, WithoutAKeyReachesFewServers) {
+TEST_F(FatalRequestTest, RequestWithoutAKeyReachesFewServers) {
   start("/orders/fatal");
   repeat(kRepeats);
   EXPECT_GE(cluster_.serversEnded(), 2U);
-  EXPECT_LE(cluster_.fatalBegun(), kMostBegun);
+  EXPECT_LE(cluster_.fatalBegun(), kMaxStarts);
 }
 
-// Seen on a deployment of four services: clients bring the same words at any machine. As long as the service of that
-// machine was a part of what identified the request, it cost three servers for each of the four.
-TEST_F(FatalRequestTest, BroughtAtMachinesOfFourServicesCostsThreeServersInAll) {
+// The fingerprint must not depend on the service of the node at which the request arrives; otherwise each service would
+// need three crashes of its own.
+TEST_F(FatalRequestTest, RequestArrivingAtNodesOfFourServicesCrashesAtMostThreeServers) {
   start("/search/fatal", {"search", "search", "search", "orders", "maps", "checks"});
   repeat(3 * cluster_.nodes().size());
   EXPECT_GE(cluster_.serversEnded(), 2U);
   EXPECT_LE(cluster_.fatalBegun(), 3U);
 }
 
-TEST_F(FatalRequestTest, IsRefusedAtOnceAsNotRunAndToldWhenToComeBack) {
+TEST_F(FatalRequestTest, QuarantinedRequestIsRefusedWithRetryAfter) {
   start("/search/fatal");
-  repeatUntilKnown();
+  repeatUntilQuarantined();
   EXPECT_EQ(last_.http.status, kUnavailable);
-  const std::string told(headerValue(last_.http.headers, "Retry-After"));
-  ASSERT_FALSE(told.empty());
-  EXPECT_GT(std::stod(told), 60.0);
+  const std::string retry_after(headerValue(last_.http.headers, "Retry-After"));
+  ASSERT_FALSE(retry_after.empty());
+  EXPECT_GT(std::stod(retry_after), 60.0);
 }
 
-TEST_F(FatalRequestTest, OtherRequestsAreServedOn) {
+TEST_F(FatalRequestTest, OtherRequestsAreStillServed) {
   start("/search/fatal");
-  repeatUntilKnown();
+  repeatUntilQuarantined();
   EXPECT_EQ(cluster_.ask(node(0), "/search/fatal2", "7").http.status, kOk);
 }
 
-TEST_F(FatalRequestTest, IsKnownToARouterThatHasStartedSince) {
+TEST_F(FatalRequestTest, QuarantineIsKnownToARestartedRouter) {
   start("/search/fatal");
-  const std::size_t begun = repeatUntilKnown();
+  const std::size_t started = repeatUntilQuarantined();
   cluster_.restartRouter(node(1));
   ASSERT_TRUE(cluster_.runUntilServing());
   for (int i = 0; i < 4; ++i) {
     cluster_.ask(node(1), fatal_path_, "7");
   }
-  EXPECT_EQ(cluster_.fatalBegun(), begun);
+  EXPECT_EQ(cluster_.fatalBegun(), started);
 }
 
-// The nodes' records outlive all processes.
-TEST_F(FatalRequestTest, IsKnownAfterAllRoutersWereKilledAtOnce) {
+// Node records survive the failure of all processes.
+TEST_F(FatalRequestTest, QuarantineSurvivesSimultaneousRestartOfAllRouters) {
   start("/search/fatal");
-  const std::size_t begun = repeatUntilKnown();
+  const std::size_t started = repeatUntilQuarantined();
   for (const auto& node : cluster_.nodes()) {
     cluster_.restartRouter(*node);
   }
   ASSERT_TRUE(cluster_.runUntilServing());
   repeat(4);
-  EXPECT_EQ(cluster_.fatalBegun(), begun);
+  EXPECT_EQ(cluster_.fatalBegun(), started);
 }
 
 }  // namespace
--- a/test/router/gateway_test.cc
+++ b/test/router/gateway_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What a client is told at the end of a request that was tried more than once. "Not run" must be true of all attempts.
+/// Final responses to requests with several attempts. "Not run" must be true of all attempts.
 
 #include "source/router/gateway.h"
 
@@ -45,7 +45,7 @@
   return frame;
 }
 
-/// Two servers of a service without keys, whose processes answer each attempt in turn as the test says.
+/// Two servers of a service without keys, whose peers answer successive attempts as specified by the test.
 class GatewayTest : public ::testing::Test {
  protected:
   GatewayTest()
@@ -70,8 +70,8 @@
     for (FakePeer* peer : {&first_, &second_}) {
       peer->on_forward = [this](const ForwardFrame&) { return nextAnswer(); };
     }
-    know(first_, "node-1");
-    know(second_, "node-2");
+    addNode(first_, "node-1");
+    addNode(second_, "node-2");
   }
 
   static RoutedService service(const ServiceName& name) {
@@ -93,7 +93,7 @@
     return route;
   }
 
-  /// Its requests are waited for longer than any test lasts.
+  /// A route whose requests may wait for longer than any test runs.
   Route dividedRoute() const {
     Route made = route();
     made.name = "keyed";
@@ -121,7 +121,7 @@
     return ports;
   }
 
-  void know(const FakePeer& peer, const std::string& name) {
+  void addNode(const FakePeer& peer, const std::string& name) {
     NodeRecord record;
     record.node = NodeName(name);
     record.peer = peer.endpoint();
@@ -139,7 +139,7 @@
     return answers_[next_++];
   }
 
-  /// @param answers to the attempts, in their order; attempts after the last one stay without an answer.
+  /// @param answers to the attempts in order; further attempts get no answer.
   HttpResponse ask(std::vector<ForwardReplyFrame> answers, Duration deadline = seconds(10)) {
     answers_ = std::move(answers);
     next_ = 0;
@@ -151,7 +151,7 @@
     return response.value_or(HttpResponse{});
   }
 
-  /// Asks for a key of the divided service, which nobody owns; the client waits for as long as it takes.
+  /// Requests a key without an owner; the client's deadline is longer than any test runs.
   std::optional<HttpResponse> askForKey() {
     const auto deadline_ms = std::chrono::floor<milliseconds>(std::chrono::hours(1)).count();
     return httpCall(loop_, clients_->endpoint(),
@@ -162,7 +162,7 @@
                     kTestCap);
   }
 
-  static bool saysWhenToComeBack(const HttpResponse& response) {
+  static bool hasRetryAfter(const HttpResponse& response) {
     return !headerValue(response.headers, "Retry-After").empty();
   }
 
@@ -186,8 +186,8 @@
   std::size_t next_ = 0;
 };
 
-// Its keys can go nowhere: waiting for an owner until the time is over would be in vain.
-TEST_F(GatewayTest, KeyOfAServiceThatIsEvacuatedWholeIsRefusedAtOnce) {
+// No server can take over the keys, so waiting for an owner is useless.
+TEST_F(GatewayTest, RequestForAKeyOfAFullyEvacuatedServiceIsRefusedImmediately) {
   NodeRecord record;
   record.node = NodeName("node-3");
   record.zone = ZoneName("z");
@@ -199,43 +199,43 @@
   const auto response = askForKey();
   ASSERT_TRUE(response.has_value());
   EXPECT_EQ(response->status, kUnavailable);
-  EXPECT_TRUE(saysWhenToComeBack(*response));
+  EXPECT_TRUE(hasRetryAfter(*response));
 }
 
-TEST_F(GatewayTest, RequestThatNoAttemptHasRunIsRefusedWithATimeToComeBack) {
+TEST_F(GatewayTest, RequestThatNoAttemptRanIsRefusedWithRetryAfter) {
   const HttpResponse response = ask({refused(), refused()});
   EXPECT_EQ(response.status, kUnavailable);
-  EXPECT_TRUE(saysWhenToComeBack(response));
+  EXPECT_TRUE(hasRetryAfter(response));
 }
 
-// The first attempt may have run: a refusal of the second one says nothing about it.
-TEST_F(GatewayTest, RefusalAfterAnAttemptOfUnknownOutcomeDoesNotSayNotRun) {
+// The first attempt may have run, whatever the result of the second one.
+TEST_F(GatewayTest, RefusalAfterAnAttemptOfUnknownOutcomeIsNotReportedAsNotRun) {
   const HttpResponse response = ask({unknown(), refused()});
   EXPECT_EQ(response.status, kBadGateway);
-  EXPECT_FALSE(saysWhenToComeBack(response));
+  EXPECT_FALSE(hasRetryAfter(response));
 }
 
-TEST_F(GatewayTest, NoServerLeftAfterAnAttemptOfUnknownOutcomeDoesNotSayNotRun) {
+TEST_F(GatewayTest, NoServerLeftAfterAnAttemptOfUnknownOutcomeIsNotReportedAsNotRun) {
   directory_.remove(NodeName("node-2"));
   EXPECT_EQ(ask({unknown()}).status, kBadGateway);
 }
 
-TEST_F(GatewayTest, TimeOverAfterAnAttemptOfUnknownOutcomeDoesNotSayNotRun) {
+TEST_F(GatewayTest, TimeoutAfterAnAttemptOfUnknownOutcomeIsNotReportedAsNotRun) {
   EXPECT_EQ(ask({unknown()}, milliseconds(700)).status, kGatewayTimeout);
 }
 
-// It has run, and its answer is there.
-TEST_F(GatewayTest, ServersOwnErrorIsDeliveredIfNoFurtherAttemptIsServed) {
+// The first attempt has run and its response is available.
+TEST_F(GatewayTest, ServerErrorIsReturnedIfNoFurtherAttemptIsAnswered) {
   const HttpResponse response = ask({answered(500, "broken here"), refused()});
   EXPECT_EQ(response.status, 500);
   EXPECT_EQ(response.body, "broken here");
 }
 
-TEST_F(GatewayTest, ServersOwnErrorIsDeliveredIfTheNextAttemptsOutcomeIsUnknown) {
+TEST_F(GatewayTest, ServerErrorIsReturnedIfTheNextOutcomeIsUnknown) {
   EXPECT_EQ(ask({answered(500, "broken here"), unknown()}).status, 500);
 }
 
-TEST_F(GatewayTest, LaterAnswerCountsAfterAnAttemptOfUnknownOutcome) {
+TEST_F(GatewayTest, AnswerAfterAnAttemptOfUnknownOutcomeIsReturned) {
   const HttpResponse response = ask({unknown(), answered(200, "here")});
   EXPECT_EQ(response.status, 200);
   EXPECT_EQ(response.body, "here");
--- a/test/router/recorders_test.cc
+++ b/test/router/recorders_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What gateway and gate log and count of their decisions.
+/// Log lines and metrics of the gateway's and the gate's decisions.
 
 #include <fcntl.h>
 #include <gmock/gmock.h>
@@ -69,7 +69,7 @@
   std::shared_ptr<const RouteTable> routes_;
 };
 
-TEST_F(RecordersTest, AttemptThatCameBackTellsWhatChoseItsServer) {
+TEST_F(RecordersTest, EndedAttemptIsLoggedWithItsServerAndLoad) {
   GatewayRecorder recorder(time_, *log_, metrics_);
   ForwardReplyFrame reply;
   reply.reason = ForwardReason::Overloaded;
@@ -82,9 +82,9 @@
   EXPECT_THAT(metrics(), HasSubstr("shedlever_retries_total{reason=\"overloaded\"} 1"));
 }
 
-TEST_F(RecordersTest, LateAnswerIsLoggedAmongThoseThatFailed) {
+TEST_F(RecordersTest, LateAnswerUsesTheRateLimitOfFailedRequests) {
   GatewayRecorder recorder(time_, *log_, metrics_);
-  // Uses up what is kept of requests that were served in time.
+  // Uses up the rate limit of requests that were answered in time.
   while (log_->mayWriteServed()) {
   }
   const GatewayRequest in_time = request();
@@ -101,14 +101,14 @@
   EXPECT_THAT(metrics(), HasSubstr("shedlever_request_seconds_count{route=\"search\"} 2"));
 }
 
-TEST_F(RecordersTest, RequestWithoutARouteIsLoggedWithTheConfigurationThatHasNone) {
+TEST_F(RecordersTest, RequestWithoutARouteIsLoggedWithTheConfigurationVersion) {
   GatewayRecorder recorder(time_, *log_, metrics_);
   recorder.refusedAtOnce({"GET", "/nowhere", {{"Host", "h"}}, {}}, RequestId("r2"), Reason::UnknownService, 12);
   EXPECT_THAT(logged(), HasSubstr(" id=r2 reason=unknown-service host=h target=/nowhere config=12"));
   EXPECT_THAT(metrics(), HasSubstr("shedlever_requests_refused_at_once_total{reason=\"unknown-service\"} 1"));
 }
 
-TEST_F(RecordersTest, GateTellsWhatARefusalWasDecidedBy) {
+TEST_F(RecordersTest, GateRefusalIsLoggedWithItsInputs) {
   GateRecorder recorder(*log_, metrics_);
   ForwardFrame frame;
   frame.id = RequestId("r3");
@@ -125,7 +125,7 @@
   EXPECT_THAT(metrics(), HasSubstr("shedlever_gate_refusals_total{reason=\"wrong-instance\"} 1"));
 }
 
-TEST_F(RecordersTest, GateLogsOnlyWhatTheServerDidNotAnswer) {
+TEST_F(RecordersTest, GateLogsOnlyUnansweredRequests) {
   GateRecorder recorder(*log_, metrics_);
   ForwardFrame frame;
   frame.id = RequestId("r4");
@@ -142,7 +142,7 @@
   EXPECT_THAT(metrics(), HasSubstr("shedlever_queue_seconds_count 2"));
 }
 
-TEST(ServerResultTest, OnlyAnAnswerThatIsNoServerErrorIsAGoodRun) {
+TEST(ServerResultTest, OnlyAResponseBelow500Succeeds) {
   ServerResult result;
   EXPECT_FALSE(result.succeeded());
   result.outcome = ForwardOutcome::Answered;
@@ -159,7 +159,7 @@
   EXPECT_FALSE(result.succeeded());
 }
 
-TEST_F(RecordersTest, AttemptLinesAreBounded) {
+TEST_F(RecordersTest, AttemptLinesAreRateLimited) {
   GatewayRecorder recorder(time_, *log_, metrics_);
   constexpr int kAttempts = 1000;
   for (int i = 0; i < kAttempts; ++i) {
@@ -169,16 +169,16 @@
   EXPECT_THAT(metrics_.text({}), HasSubstr("shedlever_retries_total{reason=\"none\"} 1000"));
 }
 
-TEST_F(RecordersTest, LevelsStandAsTheyWereWhenAsked) {
-  RouterGauges levels;
-  levels.load = {3, 2, 18, 500};
-  levels.config_version = 12;
-  levels.config_age = milliseconds(1500);
-  levels.lease_left = milliseconds(7500);
-  levels.store_reached = true;
+TEST_F(RecordersTest, GaugesShowTheGivenValues) {
+  RouterGauges gauges;
+  gauges.load = {3, 2, 18, 500};
+  gauges.config_version = 12;
+  gauges.config_age = milliseconds(1500);
+  gauges.lease_left = milliseconds(7500);
+  gauges.store_reached = true;
   metrics_.onStoreCall("GET", 200, milliseconds(4));
   metrics_.onStoreCall("PUT", 0, milliseconds(900));
-  const std::string text = metrics_.text(levels);
+  const std::string text = metrics_.text(gauges);
   EXPECT_THAT(text, HasSubstr("shedlever_server_running 3"));
   EXPECT_THAT(text, HasSubstr("shedlever_link_wait_seconds 0.5"));
   EXPECT_THAT(text, HasSubstr("shedlever_config_age_seconds 1.5"));
--- a/test/router/restarted_server_test.cc
+++ b/test/router/restarted_server_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Servers that start again under the id that they had. A life of a server is its id and the moment of its start: the
-/// new one holds and knows nothing of before, and its reports count anew.
+/// Servers that restart under the same server id. The start time distinguishes the instances: a new instance holds no
+/// keys, and its report sequence starts again.
 
 #include <gtest/gtest.h>
 
@@ -26,7 +26,7 @@
 
   RouterCluster::Node& node(std::size_t index) { return *cluster_.nodes()[index]; }
 
-  /// @return whether requests reach that life of the server again.
+  /// @return whether requests reach the new instance of the server.
   bool servesAgain(std::size_t index, const std::string& target) {
     for (int tries = 0; tries < kTries && node(index).server->begun() == 0; ++tries) {
       for (const char* key : {"0", "20000", "40000", "65535"}) {
@@ -37,8 +37,8 @@
     return node(index).server->begun() > 0;
   }
 
-  /// Posts a heartbeat as the server beside the node did at an earlier start.
-  int reportOfEarlierLife(std::size_t index, std::uint64_t started_ms) {
+  /// Posts a heartbeat of an earlier instance of the node's server.
+  int reportFromEarlierInstance(std::size_t index, std::uint64_t started_ms) {
     const std::string body =
         R"({"service":")" + node(index).server_config.service + R"(","address":")" +
         toString(node(index).server->endpoint()) +
@@ -53,18 +53,18 @@
   RouterCluster cluster_{GetParam()};
 };
 
-TEST_P(RestartedServerTest, WithoutKeysServesAgain) {
+TEST_P(RestartedServerTest, ServerWithoutKeysServesAgain) {
   cluster_.restartServer(node(2));
   EXPECT_TRUE(servesAgain(2, "/orders/x"));
 }
 
-TEST_P(RestartedServerTest, WithKeysServesAgain) {
+TEST_P(RestartedServerTest, ServerWithKeysServesAgain) {
   cluster_.restartServer(node(0));
   EXPECT_TRUE(servesAgain(0, "/search/x"));
   EXPECT_TRUE(cluster_.runUntilServing());
 }
 
-TEST_P(RestartedServerTest, ServesAgainThoughItsEndWasNoticed) {
+TEST_P(RestartedServerTest, ServesAgainAfterItsFailureWasDetected) {
   node(2).server.reset();
   int status = kOk;
   for (int tries = 0; tries < kTries && status == kOk; ++tries) {
@@ -75,7 +75,7 @@
   EXPECT_TRUE(servesAgain(2, "/orders/x"));
 }
 
-TEST_P(RestartedServerTest, ServesAgainAfterEachOfManyStarts) {
+TEST_P(RestartedServerTest, ServesAgainAfterEachOfSeveralRestarts) {
   constexpr int kStarts = 5;
   for (int start = 0; start < kStarts; ++start) {
     cluster_.restartServer(node(2));
@@ -83,7 +83,7 @@
   }
 }
 
-TEST_P(RestartedServerTest, ServesAgainThoughItsEarlierLifeHadSaidThatItLeaves) {
+TEST_P(RestartedServerTest, ServesAgainAfterItsEarlierInstanceAnnouncedShutdown) {
   bool acknowledged = false;
   node(2).server->leave([&acknowledged] { acknowledged = true; });
   ASSERT_TRUE(cluster_.runUntil([&acknowledged] { return acknowledged; }));
@@ -91,11 +91,11 @@
   EXPECT_TRUE(servesAgain(2, "/orders/x"));
 }
 
-// Held up on its way, it comes after the first one of the new life, and says that the server leaves.
-TEST_P(RestartedServerTest, LateHeartbeatOfTheEarlierLifeChangesNothing) {
+// The delayed heartbeat arrives after the first one of the new instance and reports that the server is draining.
+TEST_P(RestartedServerTest, LateHeartbeatOfAnEarlierInstanceIsIgnored) {
   cluster_.restartServer(node(2));
   ASSERT_TRUE(servesAgain(2, "/orders/x"));
-  EXPECT_EQ(reportOfEarlierLife(2, 1'000), kOk);
+  EXPECT_EQ(reportFromEarlierInstance(2, 1'000), kOk);
   for (int i = 0; i < 8; ++i) {
     EXPECT_EQ(cluster_.ask(node(0), "/orders/x").http.status, kOk);
   }
--- a/test/router/status_pages_test.cc
+++ b/test/router/status_pages_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What a router answers about itself, with the product's own interface and with the platform's.
+/// Status endpoints of a router with the product's own interface and with the platform's.
 
 #include "source/router/status_pages.h"
 
@@ -12,7 +12,7 @@
 constexpr int kNotFound = 404;
 constexpr int kServiceUnavailable = 503;
 
-class ReadinessAtReady : public ReportProtocol {
+class ReadinessProtocol : public ReportProtocol {
  public:
   std::optional<ServerReport> readReport(const HttpRequest&) const override { return std::nullopt; }
   HttpResponse acknowledgement(const KeyAssignment*) const override { return {}; }
@@ -34,37 +34,37 @@
     return StatusPages(kind, std::move(ports)).answer(request);
   }
 
-  ReadinessAtReady reports_;
+  ReadinessProtocol reports_;
   NodeStatus status_;
   bool ready_ = false;
 };
 
-TEST_F(StatusPagesTest, ReadinessFollowsTheRouter) {
+TEST_F(StatusPagesTest, ReadinessReflectsTheRouterState) {
   EXPECT_EQ(ask(InterfaceKind::Platform, "GET", "/ready").status, kServiceUnavailable);
   ready_ = true;
   EXPECT_EQ(ask(InterfaceKind::Platform, "GET", "/ready").status, kOk);
 }
 
-TEST_F(StatusPagesTest, MetricsStandOnEitherInterface) {
+TEST_F(StatusPagesTest, MetricsAreServedOnBothInterfaces) {
   EXPECT_EQ(ask(InterfaceKind::Platform, "GET", "/metrics").body, "metric 1\n");
   EXPECT_EQ(ask(InterfaceKind::Shedlever, "GET", "/metrics").body, "metric 1\n");
 }
 
-TEST_F(StatusPagesTest, OperatorsPagesStandOnlyOnTheProductsOwnInterface) {
+TEST_F(StatusPagesTest, OperatorEndpointsExistOnlyOnTheProductsOwnInterface) {
   EXPECT_EQ(ask(InterfaceKind::Platform, "GET", "/status").status, kNotFound);
   EXPECT_EQ(ask(InterfaceKind::Platform, "POST", "/drain").status, kNotFound);
   EXPECT_FALSE(status_.draining);
   EXPECT_EQ(ask(InterfaceKind::Shedlever, "GET", "/status").status, kOk);
 }
 
-TEST_F(StatusPagesTest, DrainAnswersWithTheStatusAfterIt) {
+TEST_F(StatusPagesTest, DrainRespondsWithTheDrainingStatus) {
   const HttpResponse answer = ask(InterfaceKind::Shedlever, "POST", "/drain");
   const auto status = decodeNodeStatus(answer.body);
   ASSERT_TRUE(status);
   EXPECT_TRUE(status->draining);
 }
 
-TEST_F(StatusPagesTest, NothingElseIsAnswered) {
+TEST_F(StatusPagesTest, UnknownEndpointsAreNotFound) {
   EXPECT_EQ(ask(InterfaceKind::Shedlever, "GET", "/drain").status, kNotFound);
   EXPECT_EQ(ask(InterfaceKind::Shedlever, "POST", "/status").status, kNotFound);
   EXPECT_EQ(ask(InterfaceKind::Shedlever, "GET", "/other").status, kNotFound);
