--- a/source/core/outcome.cc
+++ b/source/core/outcome.cc
@@ -7,10 +7,10 @@
 
 namespace {
 
-/// One row a reason, in the order of the enumeration.
+/// Text and HTTP status of one reason. The table is in the order of the enumeration.
 struct ReasonRow {
   Reason reason;
-  std::string_view word;
+  std::string_view name;
   int http_status;
 };
 
@@ -64,7 +64,7 @@
   return "unknown";
 }
 
-std::string_view toString(Reason reason) { return rowOf(reason).word; }
+std::string_view toString(Reason reason) { return rowOf(reason).name; }
 
 int httpStatusFor(Reason reason) { return rowOf(reason).http_status; }
 
--- a/source/core/router/answer_sizes.cc
+++ b/source/core/router/answer_sizes.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Share of the newest size in the mean.
+/// Weight of the newest sample in the moving average.
 constexpr double kNewestSampleWeight = 0.1;
 
 }  // namespace
--- a/source/core/router/answer_sizes.h
+++ b/source/core/router/answer_sizes.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// How large a server's answers are, by the kind of their requests.
+/// Estimates the size of a server's responses for each kind of route.
 
 #include <array>
 #include <cstddef>
@@ -10,19 +10,21 @@
 
 namespace shedlever {
 
-/// Answers below this size are no load for a link.
+/// Responses below this size are not counted as load on a link.
 inline constexpr double kLargeResponseBytes = 24.0 * 1024;
 
+/// Keeps an exponential moving average of response sizes for each kind of route.
 class ResponseSizeEstimator {
  public:
   void record(RouteKind kind, std::size_t bytes);
 
-  /// @return mean size of the kind's answers; 0 while they are small, or none has come.
+  /// @return mean response size of the kind in bytes; 0 if it is below `kLargeResponseBytes` or there is no response
+  /// yet.
   double expectedBytes(RouteKind kind) const;
 
  private:
-  static constexpr std::size_t kKinds = 3;
-  std::array<double, kKinds> means_{};
+  static constexpr std::size_t kRouteKindCount = 3;
+  std::array<double, kRouteKindCount> means_{};
 };
 
 }  // namespace shedlever
--- a/source/core/router/claim_keeper.cc
+++ b/source/core/router/claim_keeper.cc
@@ -18,21 +18,21 @@
 
 std::string hexOf(const Sha256Digest& digest) {
   constexpr const char* kDigits = "0123456789abcdef";
-  constexpr unsigned kNibble = 4;
-  constexpr unsigned kLowNibble = 0xf;
+  constexpr unsigned kNibbleBits = 4;
+  constexpr unsigned kLowNibbleMask = 0xf;
   std::string text;
   for (const unsigned char byte : digest) {
-    text.push_back(kDigits[byte >> kNibble]);
-    text.push_back(kDigits[byte & kLowNibble]);
+    text.push_back(kDigits[byte >> kNibbleBits]);
+    text.push_back(kDigits[byte & kLowNibbleMask]);
   }
   return text;
 }
 
-/// JSON holds text only; a body is any bytes.
+/// Bodies are stored as base64 because JSON strings cannot hold arbitrary bytes.
 std::string toBase64(const std::string& bytes) {
-  constexpr std::size_t kGroup = 3;
-  constexpr std::size_t kGroupText = 4;
-  std::string text((bytes.size() + kGroup - 1) / kGroup * kGroupText + 1, '\0');
+  constexpr std::size_t kBytesPerGroup = 3;
+  constexpr std::size_t kCharactersPerGroup = 4;
+  std::string text((bytes.size() + kBytesPerGroup - 1) / kBytesPerGroup * kCharactersPerGroup + 1, '\0');
   const int length =
       EVP_EncodeBlock(reinterpret_cast<unsigned char*>(text.data()),
                       reinterpret_cast<const unsigned char*>(bytes.data()), static_cast<int>(bytes.size()));
@@ -48,7 +48,7 @@
   if (length < 0) {
     return std::nullopt;
   }
-  // The decoder counts padding as bytes.
+  // The result of EVP_DecodeBlock includes the padding.
   const std::size_t padding = text.ends_with("==") ? 2 : (text.ends_with('=') ? 1 : 0);
   bytes.resize(static_cast<std::size_t>(length) - padding);
   return bytes;
@@ -70,23 +70,23 @@
   }
   const auto body = fromBase64(document.at("body").get<std::string>());
   if (!body) {
-    throw std::invalid_argument("body is no base64");
+    throw std::invalid_argument("body is not valid base64");
   }
   response.body = *body;
   return response;
 }
 
-ClaimState stateFrom(const std::string& word) {
+ClaimState stateFrom(const std::string& name) {
   for (std::size_t i = 0; i < kStateNames.size(); ++i) {
-    if (word == kStateNames[i]) {
+    if (name == kStateNames[i]) {
       return static_cast<ClaimState>(i);
     }
   }
   return ClaimState::Unknown;
 }
 
-ClaimState stateOf(ClaimOutcome end) {
-  switch (end) {
+ClaimState stateOf(ClaimOutcome outcome) {
+  switch (outcome) {
     case ClaimOutcome::NotRun:
       return ClaimState::NotRun;
     case ClaimOutcome::Answered:
@@ -104,7 +104,7 @@
 }  // namespace
 
 std::string claimObjectName(const ClaimKey& key) {
-  // Names can't hold a line's end, so no two keys give the same text.
+  // Service and tenant names cannot contain a line feed, so different keys give different texts.
   return hexOf(sha256(key.service.value + "\n" + key.tenant.value + "\n" + key.key.value));
 }
 
@@ -193,7 +193,7 @@
   }
 }
 
-/// The record as it was sent stands in the store. It may have been sent before the request ended.
+/// The store holds a record of this claim, which may have been written before the request ended.
 void ClaimManager::onWritten(Claims::iterator found, const MetadataObject& object) {
   Claim& claim = found->second;
   claim.revision = object.revision;
@@ -213,7 +213,7 @@
     return;
   }
   if (clock_.now() < grants_held_until_) {
-    // Whoever holds the claim already writes over this one until then, and the next write finds that out.
+    // An earlier holder of the key rewrites its claim until then; the next write of this claim then conflicts.
     claim.next_send_at = grants_held_until_;
     return;
   }
@@ -221,15 +221,15 @@
   decide(found, {ClaimVerdict::Granted, {}});
 }
 
-/// Another record stands in the store, or an earlier write of this claim that had no answer.
+/// The store holds another record, or one that an earlier write of this claim made without a response.
 void ClaimManager::onConflict(Claims::iterator found, const MetadataObject& object) {
   Claim& claim = found->second;
-  const ClaimRecord other = ClaimRecord::decode(object.value);
-  if (sameRequest(other, claim.record)) {
+  const ClaimRecord existing = ClaimRecord::decode(object.value);
+  if (sameRequest(existing, claim.record)) {
     onWritten(found, object);
     return;
   }
-  const bool has_run = other.state == ClaimState::Answered || other.state == ClaimState::Unknown;
+  const bool has_run = existing.state == ClaimState::Answered || existing.state == ClaimState::Unknown;
   const bool frees_key = claim.record.state == ClaimState::NotRun;
   if (claim.rewrite && !has_run && !frees_key) {
     claim.revision = object.revision;
@@ -241,28 +241,28 @@
     return;
   }
   if (claim.ended) {
-    // Settled by another, or never made: nothing of this claim can come any more.
+    // Another request has overwritten this claim, or the claim was never created: no later write of it can succeed.
     claims_.erase(found);
     return;
   }
-  if (other.state == ClaimState::NotRun) {
+  if (existing.state == ClaimState::NotRun) {
     claim.revision = object.revision;
     claim.next_send_at = clock_.now();
     return;
   }
-  ClaimResult answer = verdictFor(other);
+  ClaimResult result = verdictFor(existing);
   const DecisionCallback on_decided = std::move(claim.on_decided);
   claims_.erase(found);
-  on_decided(answer);
+  on_decided(result);
 }
 
-ClaimResult ClaimManager::verdictFor(const ClaimRecord& other) const {
-  switch (other.state) {
+ClaimResult ClaimManager::verdictFor(const ClaimRecord& existing) const {
+  switch (existing.state) {
     case ClaimState::Answered:
-      return other.response ? ClaimResult{ClaimVerdict::Recorded, *other.response}
-                            : ClaimResult{ClaimVerdict::OutcomeUnknown, {}};
+      return existing.response ? ClaimResult{ClaimVerdict::Recorded, *existing.response}
+                               : ClaimResult{ClaimVerdict::OutcomeUnknown, {}};
     case ClaimState::Open:
-      return {is_alive_(other.holder) ? ClaimVerdict::InProgress : ClaimVerdict::OutcomeUnknown, {}};
+      return {is_alive_(existing.holder) ? ClaimVerdict::InProgress : ClaimVerdict::OutcomeUnknown, {}};
     case ClaimState::NotRun:
     case ClaimState::Unknown:
       break;
@@ -270,10 +270,10 @@
   return {ClaimVerdict::OutcomeUnknown, {}};
 }
 
-void ClaimManager::decide(Claims::iterator found, const ClaimResult& answer) {
+void ClaimManager::decide(Claims::iterator found, const ClaimResult& result) {
   const DecisionCallback on_decided = std::exchange(found->second.on_decided, {});
   if (on_decided) {
-    on_decided(answer);
+    on_decided(result);
   }
 }
 
@@ -283,17 +283,17 @@
   claim.next_send_at = clock_.now();
 }
 
-void ClaimManager::finish(ClaimHandle handle, ClaimOutcome end, const HttpResponse& response) {
+void ClaimManager::finish(ClaimHandle handle, ClaimOutcome outcome, const HttpResponse& response) {
   const auto found = claims_.find(handle);
   if (found == claims_.end() || found->second.ended) {
     return;
   }
   Claim& claim = found->second;
   claim.on_decided = {};
-  if (end == ClaimOutcome::Answered && response.body.size() <= config_.max_response_bytes) {
+  if (outcome == ClaimOutcome::Answered && response.body.size() <= config_.max_response_bytes) {
     claim.record.response = response;
   }
-  markEnded(claim, stateOf(end));
+  markEnded(claim, stateOf(outcome));
 }
 
 void ClaimManager::onStoreRestored() {
@@ -320,8 +320,8 @@
 }
 
 bool ClaimManager::willMissDeadline(const Claim& claim, TimePoint now) const {
-  const bool held_longer = now < grants_held_until_ && claim.deadline <= grants_held_until_;
-  return !claim.granted && !claim.ended && (now >= claim.deadline || held_longer);
+  const bool held_past_deadline = now < grants_held_until_ && claim.deadline <= grants_held_until_;
+  return !claim.granted && !claim.ended && (now >= claim.deadline || held_past_deadline);
 }
 
 void ClaimManager::retain(const Claim& claim) {
@@ -331,7 +331,7 @@
   RetainedClaim retained{clock_.now() + config_.max_backup_age, claim.name, claim.record};
   const std::size_t bytes = claim.record.response ? claim.record.response->body.size() : 0;
   if (retained_response_bytes_ + bytes > config_.max_retained_response_bytes) {
-    // That it has run is worth more than what it was answered.
+    // The fact that the request has run is kept; only the response is dropped.
     retained.record.response.reset();
   } else {
     retained_response_bytes_ += bytes;
@@ -340,16 +340,16 @@
 }
 
 void ClaimManager::tick(TimePoint now) {
-  std::vector<ClaimHandle> late;
+  std::vector<ClaimHandle> overdue;
   for (auto& [handle, claim] : claims_) {
     const bool to_write = claim.ended || !claim.granted || claim.rewrite;
     if (willMissDeadline(claim, now)) {
-      late.push_back(handle);
+      overdue.push_back(handle);
     } else if (!claim.in_flight && to_write && now >= claim.next_send_at) {
       send(handle, claim);
     }
   }
-  for (const ClaimHandle handle : late) {
+  for (const ClaimHandle handle : overdue) {
     const auto found = claims_.find(handle);
     markEnded(found->second, ClaimState::NotRun);
     decide(found, {ClaimVerdict::Unavailable, {}});
--- a/source/core/router/claim_keeper.h
+++ b/source/core/router/claim_keeper.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Claims of once-only requests: before a request with an idempotency key is sent to a server, one create call on the
-/// metadata store makes the key its own. The store keeps claims whatever becomes of all processes.
+/// Claims idempotency keys for requests that must run at most once. Before such a request is sent to a server, a create
+/// call on the metadata store claims its key. Claims in the store outlive the processes that made them.
 
 #include <deque>
 #include <functional>
@@ -16,106 +16,107 @@
 
 namespace shedlever {
 
-/// Kind of claim objects in the store; nobody watches it.
+/// Kind of claim objects in the store. No process watches this kind.
 inline constexpr const char* kClaimObjectKind = "shedlever-claims";
 
-/// What is claimed. Two tenants' keys are different keys.
+/// Identifies a claim. Equal idempotency keys of different tenants or services are different claims.
 struct ClaimKey {
   ServiceName service;
   TenantName tenant;
   IdempotencyKey key;
 };
 
-/// @return name of the claim's object: a digest, since keys are any text.
+/// @return name of the claim's store object: a digest, because an idempotency key may contain any text.
 std::string claimObjectName(const ClaimKey& key);
 
-/// How far a claimed request has come.
+/// State of a claimed request.
 enum class ClaimState : std::uint8_t {
-  Open,      ///< it may run
-  NotRun,    ///< it has not run and never will: the key is free
-  Answered,  ///< it has run
-  Unknown,   ///< it may have run
+  Open,      ///< the request may run
+  NotRun,    ///< the request has not run and never will; its key is free again
+  Answered,  ///< the request has run
+  Unknown,   ///< the request may have run
 };
 
-/// Value of a claim object.
+/// Value of a claim object in the store.
 struct ClaimRecord {
   RequestId request;
-  /// The process that holds the claim.
+  /// Process that holds the claim.
   NodeIdentity holder;
   ClaimState state = ClaimState::Open;
-  /// With Answered: what the client got; none when that was too large to be kept.
+  /// With Answered: the response that the client received; none if it exceeded `ClaimConfig::max_response_bytes`.
   std::optional<HttpResponse> response;
 
   std::string encode() const;
-  /// @return the record; one of unknown outcome for text that can't be read.
+  /// @return the record; state Unknown if the text cannot be parsed.
   static ClaimRecord decode(const std::string& text);
 };
 
 enum class ClaimVerdict : std::uint8_t {
-  Granted,         ///< the request may run
-  Recorded,        ///< an earlier request with the key has run; its answer is known
+  Granted,         ///< the request may run now
+  Recorded,        ///< an earlier request with the key has run; its response is available
   InProgress,      ///< another request with the key may be running
-  OutcomeUnknown,  ///< an earlier request with the key may have run, or its answer was not kept
-  Unavailable,     ///< not decided in time; the request must not run
+  OutcomeUnknown,  ///< an earlier request with the key may have run, or its response was not kept
+  Unavailable,     ///< no decision before the deadline; the request must not run
 };
 
 struct ClaimResult {
   ClaimVerdict verdict = ClaimVerdict::Unavailable;
-  /// With Recorded.
+  /// Set if the verdict is Recorded.
   HttpResponse recorded_response;
 };
 
-/// How a claimed request ended, as far as it is proved.
+/// Outcome of a claimed request, as far as it is known for certain.
 enum class ClaimOutcome : std::uint8_t { NotRun, Answered, Unknown };
 
-/// Names a claim of this process; 0 names none.
+/// Identifies a claim within this process; 0 stands for no claim.
 using ClaimHandle = std::uint64_t;
 
 struct ClaimConfig {
-  /// Between two calls about one claim where the first had no answer.
+  /// Time between two store calls for one claim after a call that was refused or had no response.
   Duration retry_interval = std::chrono::milliseconds(150);
-  /// Largest answer that is kept for repeated requests, in bytes of its body.
+  /// Largest response body that is stored for repeated requests, in bytes.
   std::size_t max_response_bytes = 64U << 10U;
-  /// How long a claim whose request has ended is kept.
+  /// Time that the claim of a finished request stays in the store.
   Duration retention = std::chrono::hours(24);
-  /// Ended claims remembered for removal; older ones stay in the store.
+  /// Limit of claims scheduled for removal. Beyond it, the oldest ones are dropped from the schedule and stay in the
+  /// store.
   std::size_t max_scheduled_removals = 100000;
-  /// After the store has come back from a copy: until a claim is granted. Whoever holds one that the store has lost has
-  /// written it again by then; all processes hear of a later era within 2 s.
+  /// Time without new grants after the store was restored from a backup. Within this time every process learns of the
+  /// new epoch and rewrites its claims that the backup lacks.
   Duration grant_delay_after_restore = std::chrono::milliseconds(2500);
-  /// Copies are at most so old: records of claims that have ended are kept for so long, to be written again ...
+  /// Largest age of a backup. Finished claims are retained in memory for this time so that they can be rewritten.
   Duration max_backup_age = std::chrono::seconds(30);
-  /// ... with answers of so many bytes in all.
+  /// Limit of the response bodies that are retained in memory with finished claims, in bytes.
   std::size_t max_retained_response_bytes = 4U << 20U;
 };
 
-/// A claim that is given up before it is decided may still be made by a late call. It is settled as not run, so that
-/// its key is free again and no later request is held up by it.
+/// Creates and updates the claims of one process. A claim that is abandoned before a decision may still be created by a
+/// delayed store call. It is therefore recorded as not run, so that its key becomes free for later requests.
 class ClaimManager {
  public:
   using DecisionCallback = std::function<void(const ClaimResult&)>;
 
-  /// @param lives whether that life of a process still runs, as far as is known.
-  /// @param clock, store outlive the keeper.
+  /// @param is_alive whether that incarnation of a process is still running, as far as is known.
+  /// @param store, clock must outlive the manager.
   ClaimManager(NodeIdentity self, MetadataStore& store, const Clock& clock,
                std::function<bool(const NodeIdentity&)> is_alive);
 
   void setConfig(const ClaimConfig& config) { config_ = config; }
 
-  /// @param decided runs once, never inside this call, unless the claim is finished first.
+  /// @param on_decided called once and never within this call; not called if the claim is finished first.
   ClaimHandle acquire(const ClaimKey& key, const RequestId& request, TimePoint deadline, DecisionCallback on_decided);
 
-  /// The request has ended. Does nothing for claims that were not granted and are decided.
-  void finish(ClaimHandle handle, ClaimOutcome end, const HttpResponse& answer);
+  /// Records the outcome of the request. Has no effect on unknown claims and on claims that have already ended.
+  void finish(ClaimHandle handle, ClaimOutcome outcome, const HttpResponse& response);
 
-  /// The store has come back from a copy, which may lack claims: writes again what this process holds, or has held of
-  /// late.
+  /// Call after the store was restored from a backup, which may lack claims. Rewrites the granted and the recently
+  /// finished claims of this process.
   void onStoreRestored();
 
-  /// Repeats what had no answer, removes what is old. Every 50 ms or so.
+  /// Sends pending writes, fails overdue claims and removes expired ones. Call about every 50 ms.
   void tick(TimePoint now);
 
-  /// @return claims that are not decided, held, or not yet recorded as ended.
+  /// @return number of claims that are undecided, granted, or whose end is not yet written to the store.
   std::size_t activeClaims() const { return claims_.size(); }
 
  private:
@@ -124,12 +125,12 @@
     ClaimRecord record;
     TimePoint deadline{};
     DecisionCallback on_decided;
-    /// Revision of the record in the store as last seen; 0: not seen.
+    /// Last known revision of the record in the store; 0 if unknown.
     StoreRevision revision;
     bool granted = false;
-    /// The request has ended: `record.state` is to be written.
+    /// The request has ended; `record.state` must be written to the store.
     bool ended = false;
-    /// The store may have lost it: it is to be written again, over a claim that another request has made since.
+    /// The store may have lost the record: it is rewritten and replaces a claim that another request has made since.
     bool rewrite = false;
     bool in_flight = false;
     TimePoint next_send_at{};
@@ -141,7 +142,7 @@
     StoreRevision revision;
   };
 
-  /// A claim that has ended, as it stands in the store.
+  /// A finished claim as it is recorded in the store.
   struct RetainedClaim {
     TimePoint retain_until{};
     std::string name;
@@ -154,14 +155,14 @@
   void onAnswer(ClaimHandle handle, const StoreAnswer& answer);
   void onWritten(Claims::iterator claim, const MetadataObject& object);
   void onConflict(Claims::iterator claim, const MetadataObject& object);
-  void decide(Claims::iterator claim, const ClaimResult& answer);
+  void decide(Claims::iterator claim, const ClaimResult& result);
   void markEnded(Claim& claim, ClaimState state);
-  ClaimResult verdictFor(const ClaimRecord& other) const;
+  ClaimResult verdictFor(const ClaimRecord& existing) const;
   void scheduleRemoval(const std::string& name, StoreRevision revision);
-  /// Keeps the record in case that the store loses it.
+  /// Retains the record so that it can be rewritten after a restore of the store.
   void retain(const Claim& claim);
   void removeExpired(TimePoint now);
-  /// @return whether the claim can't be decided before its deadline.
+  /// @return whether the claim cannot be decided before its deadline.
   bool willMissDeadline(const Claim& claim, TimePoint now) const;
 
   NodeIdentity self_;
@@ -171,12 +172,12 @@
   ClaimConfig config_;
   ClaimHandle last_handle_ = 0;
   Claims claims_;
-  /// In order of their time.
+  /// Ordered by time of removal.
   std::deque<ScheduledRemoval> scheduled_removals_;
   std::deque<RetainedClaim> retained_claims_;
-  /// Of the answers in `kept_`.
+  /// Total size of the response bodies in `retained_claims_`.
   std::size_t retained_response_bytes_ = 0;
-  /// No claim is granted before.
+  /// No claim is granted before this time.
   TimePoint grants_held_until_{};
 };
 
--- a/source/core/router/duration_text.cc
+++ b/source/core/router/duration_text.cc
@@ -8,7 +8,7 @@
 
 constexpr double kMicrosecondsPerMillisecond = 1000.0;
 constexpr double kMicrosecondsPerSecond = 1'000'000.0;
-/// Longer times are not meant.
+/// About 32 years; longer durations are rejected as input errors.
 constexpr double kMaxMicroseconds = 1e15;
 
 }  // namespace
--- a/source/core/router/failure_meter.cc
+++ b/source/core/router/failure_meter.cc
@@ -7,7 +7,7 @@
 namespace {
 
 constexpr Duration kHalfLife = std::chrono::seconds(1);
-/// Requests that are taken to have gone well before the first one.
+/// Successful requests assumed in advance, so that a few failures do not give a high ratio.
 constexpr double kAssumedSuccesses = 4.0;
 
 }  // namespace
--- a/source/core/router/failure_meter.h
+++ b/source/core/router/failure_meter.h
@@ -1,22 +1,22 @@
 #pragma once
 
 /// @file
-/// How many of a server's requests fail of late.
+/// Measures the ratio of a server's recent requests that failed.
 
 #include "shedlever/time.h"
 
 namespace shedlever {
 
-/// Counts that fade with time, so that a server that is sent nothing comes to be taken for sound again.
+/// Exponentially decayed counts. The ratio of a server that receives no requests decays, so that it is tried again.
 class FailureMeter {
  public:
-  /// A request that the server was sent has ended.
+  /// Records that a request sent to the server has ended.
   void record(bool failed, TimePoint now);
 
-  /// @return share of those that failed, from 0 to 1; small while few have ended.
+  /// @return ratio of failed to ended requests, from 0 to 1; biased towards 0 while few requests have ended.
   double failureRatio(TimePoint now) const;
 
-  /// The server is another one.
+  /// Discards all counts; call when another server instance takes over.
   void reset() { *this = {}; }
 
  private:
--- a/source/core/router/forward_reason.cc
+++ b/source/core/router/forward_reason.cc
@@ -1,3 +1,6 @@
+/// @file
+/// Texts of forward reasons, and the client-visible reason for each.
+
 #include "shedlever/router_frames.h"
 
 namespace shedlever {
--- a/source/core/router/key_waits.cc
+++ b/source/core/router/key_waits.cc
@@ -4,15 +4,15 @@
 
 namespace {
 
-/// All waits are measured together.
+/// All waits share one estimate.
 constexpr const char* kAllWaits = "";
 
 }  // namespace
 
-void KeyWaitEstimator::update(const std::function<bool(Key first)>& waits, TimePoint now) {
+void KeyWaitEstimator::update(const std::function<bool(Key first)>& is_waiting, TimePoint now) {
   std::erase_if(waiting_since_, [&](const auto& wait) {
     const auto& [first, since] = wait;
-    if (waits(first)) {
+    if (is_waiting(first)) {
       return false;
     }
     durations_.record(kAllWaits, now - since);
@@ -22,10 +22,10 @@
 
 Duration KeyWaitEstimator::expectedRemaining(Key first, TimePoint now) const {
   const auto found = waiting_since_.find(first);
-  const Duration passed = found == waiting_since_.end() ? Duration::zero() : now - found->second;
-  const Duration whole = durations_.expected(kAllWaits, Duration::zero());
-  // One that takes longer than most is as likely as not to take as long again.
-  return whole > passed ? whole - passed : passed;
+  const Duration elapsed = found == waiting_since_.end() ? Duration::zero() : now - found->second;
+  const Duration total = durations_.expected(kAllWaits, Duration::zero());
+  // A wait longer than expected is assumed to take as long again.
+  return total > elapsed ? total - elapsed : elapsed;
 }
 
 }  // namespace shedlever
--- a/source/core/router/key_waits.h
+++ b/source/core/router/key_waits.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// How long keys that are on their way to a server take until they are served.
+/// Estimates how long keys in transfer to a server take until the server can serve them.
 
 #include <functional>
 #include <map>
@@ -11,18 +11,20 @@
 
 namespace shedlever {
 
-/// Measures from the first request that could not be served. Who asks for a key that will not be served in time is
-/// refused at once, and told when it will be.
+/// Measures each wait from the first request that could not be served. The estimate is used to refuse a request at
+/// once, with a retry delay, when its key will not be available before the deadline.
 class KeyWaitEstimator {
  public:
-  /// A request came for a range of keys that can't be served yet.
-  /// @param first key of the range.
+  /// Records a request for a key range that cannot be served yet.
+  /// @param first first key of the range.
   void onWaiting(Key first, TimePoint now) { waiting_since_.try_emplace(first, now); }
 
-  /// Ends the waits that are over. @param waits whether the range that begins there can't be served yet.
-  void update(const std::function<bool(Key first)>& waits, TimePoint now);
+  /// Records the duration of the waits that are over.
+  /// @param is_waiting whether the range that begins at `first` still cannot be served.
+  void update(const std::function<bool(Key first)>& is_waiting, TimePoint now);
 
-  /// @return how much longer the range is expected to wait; zero before the first wait has ended.
+  /// @return how much longer the range is expected to wait. Before the first wait has ended, the time it has already
+  ///   waited.
   Duration expectedRemaining(Key first, TimePoint now) const;
 
  private:
--- a/source/core/router/link_budget.h
+++ b/source/core/router/link_budget.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// How many bytes may be handed to a machine's link now, so that little waits in front of it: a token bucket.
+/// Token bucket that limits how many bytes are written to a machine's network link, so that its send queue stays short.
 
 #include <cstddef>
 
@@ -10,13 +10,13 @@
 namespace shedlever {
 
 struct LinkConfig {
-  /// What the link carries; 0: it never is the limit.
+  /// Bandwidth of the link; 0 disables the limit.
   double bytes_per_second = 0;
-  /// Part of it that is used for paced bytes, as headers of the network take some.
+  /// Fraction of the bandwidth for paced bytes; the rest is left to protocol headers.
   double used_fraction = 0.9;
-  /// Bytes may run ahead by what the link carries in this time.
+  /// The bucket holds what the link carries in this time ...
   Duration burst = std::chrono::milliseconds(20);
-  /// But by no less than this.
+  /// ... but at least this many bytes.
   std::size_t min_burst_bytes = 32U << 10U;
 };
 
@@ -26,13 +26,13 @@
 
   bool isLimited() const { return config_.bytes_per_second > 0; }
 
-  /// Bytes have been handed over, allowed or not.
+  /// Takes the bytes from the bucket, which may become negative.
   void spend(std::size_t bytes, TimePoint now);
 
-  /// @return zero when bytes may be handed over now; otherwise how long to wait.
+  /// @return zero if bytes may be written now; otherwise the time until then.
   Duration timeUntilAvailable(TimePoint now);
 
-  /// @return how long the link takes to carry so many bytes.
+  /// @return time that the link takes to transmit the bytes; zero without a limit.
   Duration transmissionTime(double bytes) const;
 
  private:
--- a/source/core/router/list_schedule.cc
+++ b/source/core/router/list_schedule.cc
@@ -17,13 +17,13 @@
   if (!listed_) {
     return earliest_list_at_;
   }
-  Duration pause = intervals_.idle;
+  Duration interval = intervals_.idle;
   if (need == ListNeed::Missing) {
-    pause = intervals_.missing;
+    interval = intervals_.missing;
   } else if (need == ListNeed::Newer) {
-    pause = intervals_.newer;
+    interval = intervals_.newer;
   }
-  return std::max(listed_at_ + pause, earliest_list_at_);
+  return std::max(listed_at_ + interval, earliest_list_at_);
 }
 
 }  // namespace shedlever
--- a/source/core/router/list_schedule.h
+++ b/source/core/router/list_schedule.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// When a kind of objects is to be listed again.
+/// Schedules list calls for one kind of store objects.
 
 #include <cstdint>
 
@@ -11,27 +11,27 @@
 namespace shedlever {
 
 struct ListIntervals {
-  /// Between two lists while a newer object is known to exist. Most are told by another process before that.
+  /// Between two lists while a newer object is known to exist. Peers usually send the object before that.
   Duration newer = std::chrono::milliseconds(2500);
   /// Between two lists while nothing is known to be missing.
   Duration idle = std::chrono::seconds(8);
-  /// Between two lists while there is no object at all, or one that should be there is missing.
+  /// Between two lists while there is no object, or an expected object is missing.
   Duration missing = std::chrono::seconds(1);
-  /// After a list without an answer; doubles with each ...
+  /// Backoff after the first failed list; doubles with each further failure ...
   Duration initial_retry = std::chrono::milliseconds(400);
-  /// ... up to this. After a path to the store is whole again a process has some 2 s to read it.
+  /// ... up to this limit. A process must read the store within about 2 s of the end of a network failure.
   Duration max_retry = std::chrono::milliseconds(1600);
 };
 
-/// What the reader knows to be lacking.
+/// What the reader knows to be missing from its state.
 enum class ListNeed : std::uint8_t {
   Nothing,
-  Newer,    ///< a newer version of an object exists
-  Missing,  ///< an object that should be there has not been read
+  Newer,    ///< a newer version of an object is known to exist
+  Missing,  ///< an expected object has not been read
 };
 
-/// Keeps the times between lists, also when many events ask for one: a list that failed is not made again before its
-/// backoff is over.
+/// Enforces the intervals between lists, also when many events request one: a failed list is not retried before its
+/// backoff has elapsed.
 class ListSchedule {
  public:
   explicit ListSchedule(const ListIntervals& intervals)
@@ -43,8 +43,8 @@
   /// @return when the next list is due; in the past when it is overdue.
   TimePoint dueAt(ListNeed need) const;
 
-  /// @return whether the next list must tell the newest state: the first one, and one that looks for what is known to
-  ///   exist. Others may be seconds old, which costs less.
+  /// @return whether the next list must return the latest state: true for the first list and while a newer object is
+  ///   known to exist. Other lists may be seconds old, which costs the store less.
   bool mustBeFresh(ListNeed need) const { return !listed_ || need == ListNeed::Newer; }
 
  private:
@@ -52,7 +52,7 @@
   RetryBackoff backoff_;
   bool listed_ = false;
   TimePoint listed_at_{};
-  /// No list is made before.
+  /// No list is made before this time.
   TimePoint earliest_list_at_{};
 };
 
--- a/source/core/router/quarantine/crash_quarantine.cc
+++ b/source/core/router/quarantine/crash_quarantine.cc
@@ -8,51 +8,51 @@
 
 namespace {
 
-/// Ends that point at one request where it is the only one that they point at.
+/// Crashes that are enough to quarantine a request if no other request was unanswered at as many.
 constexpr std::size_t kSoleSuspectCrashes = 2;
-/// Of a service's servers at a time some hundred end at worst; 256 ends of 64 requests are 260 KB.
+/// About twice the number of servers that crash together in the worst case; 256 crashes of 64 requests take 260 KB.
 constexpr std::size_t kMaxCrashes = 256;
-/// More than the slots of a server in use today (18 to 64).
+/// More than a server has slots (18 to 64).
 constexpr std::size_t kMaxUnansweredPerCrash = 128;
-/// Requests known by records alone, or served since: more than servers can end for.
+/// Limits memory; more requests than servers can crash on.
 constexpr std::size_t kMaxSuspects = 8192;
-/// Told to each process that is reached, though nothing points at one request yet: the second end mostly follows
-/// within seconds of the first.
+/// Crashes up to this age are sent to newly connected peers even if no request is suspected of two crashes: a second
+/// crash mostly follows within seconds of the first.
 constexpr Duration kRecentCrashAge = std::chrono::seconds(60);
 
 Duration::rep ageOf(TimePoint at, TimePoint now) { return std::max((now - at).count(), Duration::rep{0}); }
 
-void appendCrashes(std::map<ServerEndId, ServerEnd>&& ends, ServerEndsFrame& news) {
-  for (auto& [unused, crash] : ends) {
-    news.ends.push_back(std::move(crash));
+void appendCrashes(std::map<ServerEndId, ServerEnd>&& crashes, ServerEndsFrame& message) {
+  for (auto& [unused, crash] : crashes) {
+    message.ends.push_back(std::move(crash));
   }
 }
 
 }  // namespace
 
-// News.
+// Messages to and from peers.
 
 ServerEndsFrame CrashQuarantine::onLocalCrash(const ServerEndId& id, const std::vector<RequestFingerprint>& unanswered,
                                               TimePoint now) {
-  ServerEndsFrame news;
+  ServerEndsFrame message;
   if (unanswered.empty() || !addCrash(id, {now, unanswered, true})) {
-    return news;
+    return message;
   }
-  std::map<ServerEndId, ServerEnd> told;
-  told[id] = toMessage(*crashes_.find(id), now);
+  std::map<ServerEndId, ServerEnd> crashes;
+  crashes[id] = toMessage(*crashes_.find(id), now);
   for (const RequestFingerprint& request : unanswered) {
     if (countedCrashes(request) >= kSoleSuspectCrashes) {
-      collectCrashes(request, now, told);
+      collectCrashes(request, now, crashes);
     }
   }
-  appendCrashes(std::move(told), news);
-  return news;
+  appendCrashes(std::move(crashes), message);
+  return message;
 }
 
-ServerEndsFrame CrashQuarantine::merge(const ServerEndsFrame& told, TimePoint now) {
-  ServerEndsFrame news;
-  std::map<ServerEndId, ServerEnd> passed_on;
-  for (const ServerEnd& crash : told.ends) {
+ServerEndsFrame CrashQuarantine::merge(const ServerEndsFrame& received, TimePoint now) {
+  ServerEndsFrame message;
+  std::map<ServerEndId, ServerEnd> forwarded;
+  for (const ServerEnd& crash : received.ends) {
     const TimePoint at = now - Duration(crash.age_us);
     if (now - at > config_.duration || !addCrash(crash.id, {at, crash.unanswered, false})) {
       continue;
@@ -63,21 +63,21 @@
         continue;
       }
       if (countedCrashes(suspect->second) >= kSoleSuspectCrashes) {
-        collectCrashes(request, now, passed_on);
+        collectCrashes(request, now, forwarded);
       } else if (suspect->second.served_at != TimePoint{} && suspect->second.crashes.size() >= kSoleSuspectCrashes) {
-        // Others may count the ends before it was served.
-        news.served.push_back(servedOf(request, suspect->second, now));
+        // Peers may still count the crashes from before the request was served.
+        message.served.push_back(servedOf(request, suspect->second, now));
       }
     }
   }
-  appendCrashes(std::move(passed_on), news);
-  // After the ends: what is not suspected of any can't be cleared of one.
-  for (const ServedSuspect& served : told.served) {
+  appendCrashes(std::move(forwarded), message);
+  // Processed after the crashes, because only a suspect can be cleared.
+  for (const ServedSuspect& served : received.served) {
     if (recordServed(served, now)) {
-      news.served.push_back(served);
+      message.served.push_back(served);
     }
   }
-  return news;
+  return message;
 }
 
 ServerEndsFrame CrashQuarantine::onServed(const RequestFingerprint& request, std::uint64_t seen_at_us, TimePoint now) {
@@ -85,31 +85,32 @@
   if (found == suspects_.end()) {
     return {};
   }
-  const bool others_count = countedCrashes(found->second) >= kSoleSuspectCrashes || found->second.isQuarantined();
-  // Clocks of machines differ: what comes later must also look later.
+  const bool peers_may_count_crashes =
+      countedCrashes(found->second) >= kSoleSuspectCrashes || found->second.isQuarantined();
+  // Wall clocks of machines differ: a later event must also have a later time.
   const ServedSuspect served{request, std::max(seen_at_us, found->second.served_at_unix_us + 1), 0};
   recordServed(served, now);
-  return others_count ? ServerEndsFrame{{}, {served}} : ServerEndsFrame{};
+  return peers_may_count_crashes ? ServerEndsFrame{{}, {served}} : ServerEndsFrame{};
 }
 
 ServerEndsFrame CrashQuarantine::summary(TimePoint now) const {
-  std::map<ServerEndId, ServerEnd> told;
-  ServerEndsFrame news;
+  std::map<ServerEndId, ServerEnd> crashes;
+  ServerEndsFrame message;
   for (const auto& crash : crashes_) {
     if (now - crash.second.at <= kRecentCrashAge) {
-      told.emplace(crash.first, toMessage(crash, now));
+      crashes.emplace(crash.first, toMessage(crash, now));
     }
   }
   for (const auto& [request, suspect] : suspects_) {
     if (countedCrashes(suspect) >= kSoleSuspectCrashes) {
-      collectCrashes(request, now, told);
+      collectCrashes(request, now, crashes);
     }
     if (suspect.served_at != TimePoint{} && !suspect.crashes.empty()) {
-      news.served.push_back(servedOf(request, suspect, now));
+      message.served.push_back(servedOf(request, suspect, now));
     }
   }
-  appendCrashes(std::move(told), news);
-  return news;
+  appendCrashes(std::move(crashes), message);
+  return message;
 }
 
 void CrashQuarantine::collectCrashes(const RequestFingerprint& request, TimePoint now,
@@ -123,13 +124,13 @@
   return {crash.first, ageOf(crash.second.at, now), crash.second.unanswered};
 }
 
-// What is known.
+// Known crashes and suspects.
 
 bool CrashQuarantine::addCrash(const ServerEndId& id, Crash crash) {
   if (crashes_.contains(id)) {
     return false;
   }
-  // Named twice by one end, a request would count as at two.
+  // A request that is listed twice for one crash must count only once.
   std::sort(crash.unanswered.begin(), crash.unanswered.end());
   crash.unanswered.erase(std::unique(crash.unanswered.begin(), crash.unanswered.end()), crash.unanswered.end());
   if (crash.unanswered.size() > kMaxUnansweredPerCrash) {
@@ -152,7 +153,7 @@
       repeated.push_back(request);
     }
   }
-  // The first end of a request bears on nothing.
+  // The first crash of a request cannot change any quarantine.
   for (const RequestFingerprint& request : repeated) {
     reevaluateAffected(request);
   }
@@ -191,7 +192,7 @@
   suspect.served_at = at;
   const bool recorded_later = suspect.recorded_until - config_.duration > at;
   setQuarantineEnd(suspect, suspect.proved_until, recorded_later ? suspect.recorded_until : TimePoint{});
-  // What still counts against it may be enough; and what is cleared may leave another request as the only one.
+  // The remaining crashes may still be enough, and another request may have become the sole suspect.
   reevaluateAffected(served.request);
   return true;
 }
@@ -249,10 +250,10 @@
     const Crash& crash = crashes_.at(id);
     affected.insert(crash.unanswered.begin(), crash.unanswered.end());
   }
-  for (const RequestFingerprint& one : affected) {
-    const auto found = suspects_.find(one);
+  for (const RequestFingerprint& affected_request : affected) {
+    const auto found = suspects_.find(affected_request);
     if (found != suspects_.end()) {
-      reevaluate(one, found->second);
+      reevaluate(affected_request, found->second);
     }
   }
 }
@@ -266,17 +267,17 @@
 
 void CrashQuarantine::onQuarantineRecord(const RequestFingerprint& request, TimePoint until, bool own_record,
                                          TimePoint now) {
-  const TimePoint limited = std::min(until, now + config_.duration);
-  if (limited <= now || (suspects_.size() >= kMaxSuspects && !suspects_.contains(request))) {
+  const TimePoint limited_until = std::min(until, now + config_.duration);
+  if (limited_until <= now || (suspects_.size() >= kMaxSuspects && !suspects_.contains(request))) {
     return;
   }
   Suspect& suspect = suspects_[request];
-  // A record that was written before the request was served may be read afterwards.
+  // The record may have been written before the request was served.
   if (suspect.served_at != TimePoint{} && until - config_.duration <= suspect.served_at) {
     return;
   }
   suspect.in_own_record = suspect.in_own_record || own_record;
-  setQuarantineEnd(suspect, suspect.proved_until, std::max(suspect.recorded_until, limited));
+  setQuarantineEnd(suspect, suspect.proved_until, std::max(suspect.recorded_until, limited_until));
 }
 
 std::optional<Duration> CrashQuarantine::remainingTime(const RequestFingerprint& request, TimePoint now) const {
@@ -288,20 +289,22 @@
 }
 
 std::vector<CrashQuarantine::Quarantined> CrashQuarantine::quarantined() const {
-  std::vector<Quarantined> all;
+  std::vector<Quarantined> entries;
   for (const auto& [request, suspect] : suspects_) {
     if (!suspect.isQuarantined()) {
       continue;
     }
-    Quarantined& one = all.emplace_back(Quarantined{request, suspect.quarantinedUntil(), {}, suspect.in_own_record});
-    std::copy_if(suspect.crashes.begin(), suspect.crashes.end(), std::back_inserter(one.crashes),
+    Quarantined& entry =
+        entries.emplace_back(Quarantined{request, suspect.quarantinedUntil(), {}, suspect.in_own_record});
+    std::copy_if(suspect.crashes.begin(), suspect.crashes.end(), std::back_inserter(entry.crashes),
                  [this, &suspect = suspect](const ServerEndId& id) { return crashes_.at(id).at > suspect.served_at; });
-    std::sort(one.crashes.begin(), one.crashes.end(), [this](const ServerEndId& left, const ServerEndId& right) {
+    std::sort(entry.crashes.begin(), entry.crashes.end(), [this](const ServerEndId& left, const ServerEndId& right) {
       return crashes_.at(left).at < crashes_.at(right).at;
     });
   }
-  std::sort(all.begin(), all.end(), [](const auto& left, const auto& right) { return left.request < right.request; });
-  return all;
+  std::sort(entries.begin(), entries.end(),
+            [](const auto& left, const auto& right) { return left.request < right.request; });
+  return entries;
 }
 
 bool CrashQuarantine::removeExpired(TimePoint now) {
--- a/source/core/router/quarantine/crash_quarantine.h
+++ b/source/core/router/quarantine/crash_quarantine.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Which requests are not sent to servers any more, since servers ended while at work on them.
+/// Detects requests that crash servers, and quarantines them: they are not sent to servers any more.
 
 #include <algorithm>
 #include <cstdint>
@@ -15,63 +15,67 @@
 namespace shedlever {
 
 struct QuarantineConfig {
-  /// Ends of servers that prove it of a request that was unanswered at each of them.
+  /// Number of crashes after which a request that was unanswered at each of them is quarantined.
   std::uint32_t crash_threshold = 3;
-  /// How long such a request is kept from servers after the last of these ends, and how long an end is remembered: a
-  /// release that mends the servers takes longer than minutes, and each try may cost a server and all it was doing.
+  /// Time that a request stays quarantined after the last of these crashes, and that a crash is remembered. A fix of
+  /// the servers takes longer than a few minutes, and each further attempt may crash a server with all its requests.
   Duration duration = std::chrono::minutes(30);
 };
 
-/// A server that ends tells nobody which of the requests on it was the cause. The same request at three ends, and never
-/// answered between, is no chance; two are enough where no other request was at two: requests that were lost beside it
-/// are repeated like itself, and may meet it again at the next server. So one request costs the service two or three
-/// servers, not each that it is sent to.
+/// A crash does not reveal which of the server's requests caused it. A request that was unanswered at three crashes,
+/// and not answered in between, is taken as the cause. Two crashes are enough if no other request was unanswered at
+/// two: requests that were lost together are retried together and may meet again at the next server. A fatal request
+/// thus crashes two or three servers instead of every server that it is sent to.
 ///
-/// All processes hold the same news, in whatever order they hear it: ends by their id, and of each request the last
-/// time that it was answered, which clears it of all ends before.
+/// Processes exchange crashes by id and, for each request, the last time that it was answered, which clears it of all
+/// earlier crashes. The result does not depend on the order of these messages.
 class CrashQuarantine {
  public:
   explicit CrashQuarantine(const QuarantineConfig& config) : config_(config) {}
 
   void setConfig(const QuarantineConfig& config) { config_ = config; }
 
-  /// A server beside this process ended.
-  /// @return what all others are to be told.
+  /// Records a crash of this process's own server.
+  /// @param unanswered requests that may have been running at the time of the crash.
+  /// @return what to send to all peers.
   ServerEndsFrame onLocalCrash(const ServerEndId& id, const std::vector<RequestFingerprint>& unanswered, TimePoint now);
 
-  /// Another process has told this.
-  /// @return what is to be passed on to others; empty where nothing is new, or nothing points at one request yet.
-  ServerEndsFrame merge(const ServerEndsFrame& told, TimePoint now);
+  /// Merges a message of a peer.
+  /// @return what to forward to the other peers: served requests that they may not know, and all crashes of a request
+  /// that
+  ///   now has at least two.
+  ServerEndsFrame merge(const ServerEndsFrame& received, TimePoint now);
 
-  /// A server has run the request and answered it.
-  /// @param seen_at_us time of day, in microseconds since 1970.
-  /// @return what all others are to be told; empty unless they may be counting ends against it.
+  /// Records that a server has run the request and answered it.
+  /// @param seen_at_us wall-clock time in microseconds since 1970.
+  /// @return what to send to all peers; empty unless they may be counting crashes against the request.
   ServerEndsFrame onServed(const RequestFingerprint& request, std::uint64_t seen_at_us, TimePoint now);
 
-  /// @return what a process should know that has just been reached.
+  /// @return what to send to a newly connected peer.
   ServerEndsFrame summary(TimePoint now) const;
 
-  /// A node's record names the request as quarantined.
-  /// @param own_record whether it is the record of this node, which goes on naming it.
+  /// Handles a node's record that lists the request as quarantined.
+  /// @param own_record whether it is this node's own record, which continues to list the request.
   void onQuarantineRecord(const RequestFingerprint& request, TimePoint until, bool own_record, TimePoint now);
 
-  /// @return how much longer the request is kept from servers; none if it may be sent.
+  /// @return how much longer the request is quarantined; none if it may be sent.
   std::optional<Duration> remainingTime(const RequestFingerprint& request, TimePoint now) const;
 
-  /// @return whether any request is quarantined; costs nothing, so that others' fingerprints need not be computed.
+  /// @return whether any request is quarantined. Allows callers to skip the computation of fingerprints.
   bool isActive() const { return quarantined_count_ > 0; }
 
   struct Quarantined {
     RequestFingerprint request;
     TimePoint until{};
-    /// Ends that count against it, oldest first; none where only a record tells of it.
+    /// Crashes that count against the request, oldest first; empty if it is known only from a record.
     std::vector<ServerEndId> crashes;
-    /// This node's record is to name it: it saw one of the ends, or its record has named it before.
+    /// This node's record must list the request: the node saw one of the crashes, or its record listed it before.
     bool in_own_record = false;
   };
   std::vector<Quarantined> quarantined() const;
 
-  /// Forgets what is too old. @return whether a request is free again.
+  /// Removes expired crashes and quarantines.
+  /// @return whether a quarantine has ended.
   bool removeExpired(TimePoint now);
 
   std::size_t crashCount() const { return crashes_.size(); }
@@ -85,39 +89,40 @@
   using Crashes = std::map<ServerEndId, Crash>;
 
   struct Suspect {
-    /// Ends at which it was unanswered, in no order; also those before it was served.
+    /// Crashes at which the request was unanswered, unordered; including those before it was last served.
     std::vector<ServerEndId> crashes;
     TimePoint served_at{};
-    /// Time of day of the same; 0 before the first.
+    /// Wall-clock time of the same event; 0 if the request was never served.
     std::uint64_t served_at_unix_us = 0;
-    /// By the ends; zero where they don't prove it.
+    /// End of the quarantine that follows from crashes; zero if there is none.
     TimePoint proved_until{};
-    /// By records; zero where none names it.
+    /// End of the quarantine that follows from records; zero if no record lists the request.
     TimePoint recorded_until{};
     bool in_own_record = false;
 
-    /// @return when its quarantine ends; zero where it is in none.
+    /// @return end of the quarantine; zero if the request is not quarantined.
     TimePoint quarantinedUntil() const { return std::max(proved_until, recorded_until); }
     bool isQuarantined() const { return quarantinedUntil() != TimePoint{}; }
   };
 
   bool addCrash(const ServerEndId& id, Crash crash);
   void dropCrash(Crashes::iterator crash);
-  /// @return whether it was news.
+  /// @return whether the information was new.
   bool recordServed(const ServedSuspect& served, TimePoint now);
   static ServedSuspect servedOf(const RequestFingerprint& request, const Suspect& suspect, TimePoint now);
-  /// @return ends that count against it: since it was served last.
+  /// @return number of crashes that count against the request: those since it was last served.
   std::size_t countedCrashes(const Suspect& suspect) const;
   std::size_t countedCrashes(const RequestFingerprint& request) const;
-  /// @return ends that counted against it at that time.
+  /// @return number of crashes up to `time` that count against the request.
   std::size_t countedCrashesAt(const RequestFingerprint& request, TimePoint time) const;
-  /// @return whether that end proves it of the request, with the ends before.
+  /// @return whether this crash, together with earlier ones, identifies the request as the cause.
   bool implicates(const Crash& crash, const RequestFingerprint& request) const;
-  /// What is judged depends on the ends and on what was served alone, not on the order of the news.
+  /// Updates the quarantine of a request. The result depends only on the known crashes and served requests, not on the
+  /// order in which they became known.
   void reevaluate(const RequestFingerprint& request, Suspect& suspect);
-  /// Judges anew what a change to the request's ends can bear on: all that were unanswered at one of them.
+  /// Updates all requests that a change to this request's crashes can affect: those unanswered at one of them.
   void reevaluateAffected(const RequestFingerprint& request);
-  /// @return all ends at which the request was unanswered.
+  /// Adds all crashes at which the request was unanswered to `found`.
   void collectCrashes(const RequestFingerprint& request, TimePoint now, std::map<ServerEndId, ServerEnd>& found) const;
   ServerEnd toMessage(const Crashes::value_type& crash, TimePoint now) const;
   void setQuarantineEnd(Suspect& suspect, TimePoint proved, TimePoint recorded);
--- a/source/core/router/quarantine/fingerprint.cc
+++ b/source/core/router/quarantine/fingerprint.cc
@@ -20,7 +20,7 @@
   return {};
 }
 
-/// Appends a part so that no two lists of parts give the same text.
+/// Appends a length-prefixed part, so that different lists of parts give different texts.
 void append(std::string& text, std::string_view part) {
   text += std::to_string(part.size());
   text += ':';
--- a/source/core/router/quarantine/fingerprint.h
+++ b/source/core/router/quarantine/fingerprint.h
@@ -1,17 +1,16 @@
 #pragma once
 
 /// @file
-/// The fingerprint of a request.
+/// Computes the fingerprint by which repeats of a request are recognised.
 
 #include "shedlever/http_messages.h"
 #include "shedlever/request_fingerprint.h"
 
 namespace shedlever {
 
-/// Of what a server runs: method, host, target with its query, and body. Not of who passes the request on: clients
-/// bring the same one at machines of any service, and as long as the caller counted, it cost three servers for each
-/// service. Not of other headers either: id, deadline and key differ from one repeat to the next or follow from the
-/// rest.
+/// Covers what determines the work of the server: method, host, target with query, and body. The calling service is not
+/// part of it, because clients send the same request through machines of any service. Other headers are not part of it
+/// either: request id and deadline differ between repeats, and the key follows from the rest.
 RequestFingerprint fingerprintOf(const HttpRequest& request);
 
 }  // namespace shedlever
--- a/source/core/router/quarantine/unanswered_requests.cc
+++ b/source/core/router/quarantine/unanswered_requests.cc
@@ -6,14 +6,14 @@
 
 namespace {
 
-/// An answer may be read so long after it was sent, and behind the news of other connections that broke since. Well
-/// above one turn of the event loop on a busy machine (some 20 ms).
+/// A response may be read this long after it was sent, and after the loss of other connections was noticed. Well above
+/// one iteration of the event loop on a busy machine (about 20 ms).
 constexpr Duration kMaxResponseReadDelay = std::chrono::milliseconds(200);
-/// A server drops a request soon after its connection was closed; most runs take less than this anyway.
+/// A server stops a request soon after its connection was closed; most requests take less than this anyway.
 constexpr Duration kRunTimeAfterAbandon = std::chrono::milliseconds(500);
-/// More than the slots of any server: one loses all of them at once.
+/// More than the slots of any server, because a crash loses all running requests at once.
 constexpr std::size_t kMaxLost = 256;
-/// At 300 answers a second the last three seconds; 24 KB.
+/// Covers about three seconds at 300 responses per second; takes 24 KB.
 constexpr std::size_t kMaxServed = 1024;
 
 }  // namespace
--- a/source/core/router/quarantine/unanswered_requests.h
+++ b/source/core/router/quarantine/unanswered_requests.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What one life of a server was at work on: when it ends without a word, one of these requests may be the cause.
+/// Tracks the unanswered requests of one server instance. If the instance crashes, one of them may be the cause.
 
 #include <cstdint>
 #include <deque>
@@ -14,37 +14,37 @@
 
 namespace shedlever {
 
-/// A server that ends breaks all its requests at once and answers none any more. So a request is still unanswered at
-/// the end if it runs, or was broken off and the server has answered nothing since.
+/// A crash breaks all requests of a server at once, and the server answers none of them later. A request therefore
+/// counts as unanswered if it is running, or if it was lost and the server has not answered any request since.
 class UnansweredRequests {
  public:
-  /// Names one send of a request to the server.
+  /// Identifies one send of a request to the server.
   using SendId = std::uint64_t;
 
-  /// The request was sent to the server.
+  /// Call when the request is sent to the server.
   void onSent(SendId id, const RequestFingerprint& request);
-  /// The server has answered it whole: it has run it, well or not, or says that it has not.
-  /// @param ran_well whether it has run it to a good end.
+  /// Call when a complete response has arrived, also one that reports a failure or that the request was not run.
+  /// @param ran_well whether the server has run the request successfully.
   void onAnswered(SendId id, bool ran_well, TimePoint now);
-  /// It did not reach this life of the server.
+  /// Call when the request did not reach this server instance.
   void onNotReached(SendId id) { running_.erase(id); }
-  /// Its connection broke, or what came was no answer.
+  /// Call when the connection broke or the response was invalid.
   void onConnectionLost(SendId id, TimePoint now);
-  /// It was taken back, or its time is over: the server may work on it for a moment longer.
+  /// Call when the request was cancelled or timed out; the server may continue to run it for a short time.
   void onAbandoned(SendId id, TimePoint now);
 
-  /// This life is over; the next one begins with nothing.
-  /// @return each request once that it may have been at work on, without those that it had run well before: a request
-  ///   that ends servers is never answered, while one that all ask for in the same words nearly always was.
+  /// Call when the instance has crashed; clears all state for the next instance.
+  /// @return each unanswered request once, without those that the instance had run successfully before: a request that
+  ///   crashes servers is never answered, whereas a frequent harmless request nearly always was.
   std::vector<RequestFingerprint> takeOnCrash();
 
-  /// This life's end is no secret: nothing follows from it.
+  /// Call when the instance ended in an expected way; discards all state.
   void clear();
 
  private:
   struct LostRequest {
     RequestFingerprint request;
-    /// The server may have been at work on it until then.
+    /// The server may have run the request until this time.
     TimePoint may_run_until{};
   };
 
@@ -53,7 +53,7 @@
 
   std::unordered_map<SendId, RequestFingerprint> running_;
   std::deque<LostRequest> lost_;
-  /// The last ones that were answered, oldest first.
+  /// Requests that were served most recently, oldest first.
   std::deque<RequestFingerprint> served_order_;
   std::unordered_set<RequestFingerprint> served_;
 };
--- a/source/core/router/request_ids.cc
+++ b/source/core/router/request_ids.cc
@@ -20,7 +20,7 @@
   text.append(digits.data(), end.ptr);
 }
 
-bool isPlain(char letter) {
+bool isUnescaped(char letter) {
   const bool is_letter = (letter >= 'a' && letter <= 'z') || (letter >= 'A' && letter <= 'Z');
   const bool is_digit = letter >= '0' && letter <= '9';
   return is_letter || is_digit || letter == kSeparator || letter == '.' || letter == '_';
@@ -30,11 +30,11 @@
 
 RequestIdGenerator::RequestIdGenerator(const NodeIdentity& self) {
   for (const char letter : self.name.value) {
-    if (isPlain(letter)) {
+    if (isUnescaped(letter)) {
       prefix_.push_back(letter);
       continue;
     }
-    // Escaped, not dropped: names that differ must stay different.
+    // Other characters are escaped, not dropped, so that different names stay different.
     prefix_.push_back(kEscape);
     appendHex(prefix_, static_cast<unsigned char>(letter));
     prefix_.push_back(kEscape);
@@ -58,7 +58,7 @@
     return std::nullopt;
   }
   const std::string_view digits = text.substr(prefix_.size());
-  // A second spelling of a number (leading zero, capitals) is no id of ours.
+  // Only the canonical spelling is accepted: no leading zeros and no capital digits.
   if (digits.starts_with('0') || digits.find_first_not_of(kDigits) != std::string_view::npos) {
     return std::nullopt;
   }
--- a/source/core/router/request_ids.h
+++ b/source/core/router/request_ids.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Request ids, unique over all gateways and all their lives: node name, incarnation, counter.
+/// Generates request ids that are unique across all gateways and their incarnations: node name, incarnation, counter.
 
 #include <cstdint>
 #include <optional>
@@ -11,20 +11,21 @@
 
 namespace shedlever {
 
-/// Number of a request among those of this gateway's life; the key of all tables in the gateway.
+/// Sequence number of a request within this gateway's incarnation; the key of all tables in the gateway.
 using RequestSequence = std::uint64_t;
 
 class RequestIdGenerator {
  public:
   explicit RequestIdGenerator(const NodeIdentity& self);
 
-  /// @return the next sequence, starting with 1.
+  /// @return the next sequence number, starting at 1.
   RequestSequence next() { return ++last_; }
 
-  /// @return the id with that sequence. Only letters, digits and `-._~`: it stands in headers and paths.
+  /// @return the id with that sequence number. It is used in headers and paths, so it contains only ASCII letters,
+  ///   digits and `-._~`.
   RequestId idOf(RequestSequence sequence) const;
 
-  /// @return the sequence of an id made by this gateway in this life; nothing for any other text.
+  /// @return the sequence number of an id made by this gateway in this incarnation; none for any other text.
   std::optional<RequestSequence> sequenceOf(const RequestId& id) const;
 
  private:
--- a/source/core/router/retry_backoff.h
+++ b/source/core/router/retry_backoff.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// How long to wait before a call that failed is made again.
+/// Exponential backoff between retries of a failed call.
 
 #include <algorithm>
 
@@ -9,13 +9,13 @@
 
 namespace shedlever {
 
-/// The delay doubles with each failure in a row, up to a limit, and starts anew after a success. Each call to the store
-/// costs as much when it is refused, and one that is refused to a node often goes on being refused for seconds.
+/// The delay doubles with each consecutive failure, up to a limit, and is reset by a success. A refused store call
+/// costs as much as a successful one, and refusals often last for seconds.
 class RetryBackoff {
  public:
   RetryBackoff(Duration initial_delay, Duration max_delay) : initial_delay_(initial_delay), max_delay_(max_delay) {}
 
-  /// @return delay before the next try.
+  /// @return delay before the next attempt.
   Duration onFailure() {
     delay_ = delay_ == Duration::zero() ? initial_delay_ : std::min(delay_ * 2, max_delay_);
     return delay_;
@@ -26,7 +26,7 @@
  private:
   Duration initial_delay_;
   Duration max_delay_;
-  /// Of the last failure; zero after a success.
+  /// Delay after the last failure; zero after a success.
   Duration delay_{};
 };
 
--- a/source/core/router/retry_policy.cc
+++ b/source/core/router/retry_policy.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-/// Below this share of the latency objective a repeat would come too late to be worth its work.
+/// A retry needs at least this fraction (1/n) of the latency objective; with less time left it would finish too late.
 constexpr int kMinRemainingDivisor = 4;
 constexpr int kFirstServerError = 500;
 
@@ -22,19 +22,19 @@
 }
 
 RetryDecision RetryPolicy::afterNotRun(const AttemptState& attempt, const ForwardReplyFrame& reply) {
-  const bool owner_changes = reply.reason == ForwardReason::NotOwner || reply.reason == ForwardReason::NotYetOwner;
+  const bool owner_changed = reply.reason == ForwardReason::NotOwner || reply.reason == ForwardReason::NotYetOwner;
   if (reply.reason == ForwardReason::Quarantined || (reply.reached_server && !mayRetryNow(attempt))) {
     return RetryDecision::Refuse;
   }
   if (attempt.has_key && reply.reason == ForwardReason::NotYetOwner && reply.hint.revision.none()) {
-    // The gate has held it for as long as it could be served in time, or knows that it can't.
+    // The gate has held the request until it could no longer be served in time, or knows that it cannot be.
     return RetryDecision::Refuse;
   }
   if (attempt.has_key) {
-    // Only the owner can run it: a full one is no reason to ask it again at once.
+    // Only the owner can run the request, and an immediate retry at an overloaded owner would not help.
     return reply.reason == ForwardReason::Overloaded ? RetryDecision::Refuse : RetryDecision::AwaitOwner;
   }
-  return owner_changes ? RetryDecision::AwaitOwner : RetryDecision::TryAnother;
+  return owner_changed ? RetryDecision::AwaitOwner : RetryDecision::TryAnother;
 }
 
 RetryDecision RetryPolicy::decide(const AttemptState& attempt, const ForwardReplyFrame& reply) {
--- a/source/core/router/retry_policy.h
+++ b/source/core/router/retry_policy.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What follows when a forwarded request comes back: answer, try again, or give up.
+/// Decides what happens after a forwarded request has ended: return the response, retry, or fail.
 
 #include <cstdint>
 
@@ -12,25 +12,25 @@
 namespace shedlever {
 
 enum class RetryDecision : std::uint8_t {
-  Answer,      ///< pass the server's answer on
-  TryAnother,  ///< send it to another server, or again to the key's owner
-  AwaitOwner,  ///< the key is changing hands: send it to its owner once that is settled
-  Refuse,      ///< it has not run: tell the client when to come back
-  Fail,        ///< it may have run, or its time is over
+  Answer,      ///< return the server's response to the client
+  TryAnother,  ///< send the request to another server, or again to the key's owner
+  AwaitOwner,  ///< wait for the key's next owner and send the request to that owner
+  Refuse,      ///< the request has not run: refuse it with a retry delay
+  Fail,        ///< the request may have run and must not be retried, or its time is over
 };
 
-/// One attempt of a client, as far as the decision needs it.
+/// State of a client's request that the decision depends on.
 struct AttemptState {
   const Route* route = nullptr;
   ServiceName service;
   bool has_key = false;
-  /// Servers that the request has reached.
+  /// Number of servers that the request has reached.
   std::uint32_t servers_reached = 0;
-  /// What is left of its time.
+  /// Time until the request's deadline.
   Duration remaining_time{};
 };
 
-/// Spends from the budget only for what has reached a server before.
+/// Takes from the retry budget only for requests that have already reached a server.
 class RetryPolicy {
  public:
   explicit RetryPolicy(SharedRetryBudget& budget) : budget_(budget) {}
--- a/source/core/router/route_table.cc
+++ b/source/core/router/route_table.cc
@@ -31,7 +31,7 @@
     return nullptr;
   }
   std::string prefix(target.substr(0, target.find('?')));
-  // Prefixes end with a slash, so only the parts up to each slash can match; the longest is tried first.
+  // Configured prefixes end with a slash, so only the parts up to each slash can match. The longest is tried first.
   for (std::size_t slash = prefix.rfind('/'); slash != std::string::npos; slash = prefix.rfind('/')) {
     prefix.resize(slash + 1);
     const auto route = found->second.find(prefix);
--- a/source/core/router/route_table.h
+++ b/source/core/router/route_table.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Finds the route of a request by host and longest path prefix.
+/// Finds the route of a request by host and longest matching path prefix.
 
 #include <string>
 #include <string_view>
@@ -11,17 +11,17 @@
 
 namespace shedlever {
 
-/// One version of the configuration, laid out for look-ups. Immutable: a new version is a new table.
+/// One version of the configuration, indexed for lookups. Immutable: each version has its own table.
 class RouteTable {
  public:
   explicit RouteTable(RouterConfig config);
 
-  /// @param host as the client sent it; a port and the case don't count.
+  /// @param host as the client sent it; the port and the case of letters are ignored.
   /// @param target path with or without a query.
-  /// @return the route, or null. Valid as long as the table.
+  /// @return the route, or null if there is none. Valid for the lifetime of the table.
   const Route* find(std::string_view host, std::string_view target) const;
 
-  /// @return the service, or null.
+  /// @return the service, or null if it is unknown.
   const RoutedService* service(const ServiceName& name) const;
 
   const RouterConfig& config() const { return config_; }
--- a/source/core/router/service_times.cc
+++ b/source/core/router/service_times.cc
@@ -4,28 +4,28 @@
 
 namespace {
 
-/// Share of the newest time in the mean and in the deviation: some 16 requests, a fraction of a second under load.
+/// The newest sample has the weight 1/n in the mean and in the deviation.
 constexpr int kSmoothingDivisor = 16;
 
-Duration magnitude(Duration time) { return time < Duration::zero() ? -time : time; }
+Duration absolute(Duration duration) { return duration < Duration::zero() ? -duration : duration; }
 
 }  // namespace
 
-void DurationEstimator::record(const std::string& route, Duration time) {
-  const auto found = estimates_.find(route);
+void DurationEstimator::record(const std::string& key, Duration duration) {
+  const auto found = estimates_.find(key);
   if (found == estimates_.end()) {
-    estimates_.emplace(route, Estimate{time, time / 2});
+    estimates_.emplace(key, Estimate{duration, duration / 2});
     return;
   }
   Estimate& estimate = found->second;
-  const Duration error = time - estimate.mean;
+  const Duration error = duration - estimate.mean;
   estimate.mean += error / kSmoothingDivisor;
-  estimate.deviation += (magnitude(error) - estimate.deviation) / kSmoothingDivisor;
+  estimate.deviation += (absolute(error) - estimate.deviation) / kSmoothingDivisor;
 }
 
-Duration DurationEstimator::expected(const std::string& route, Duration otherwise) const {
-  const auto found = estimates_.find(route);
-  return found == estimates_.end() ? otherwise : found->second.mean + found->second.deviation;
+Duration DurationEstimator::expected(const std::string& key, Duration fallback) const {
+  const auto found = estimates_.find(key);
+  return found == estimates_.end() ? fallback : found->second.mean + found->second.deviation;
 }
 
 }  // namespace shedlever
--- a/source/core/router/service_times.h
+++ b/source/core/router/service_times.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// How long a server takes for requests, by their route.
+/// Estimates durations, such as service times for each route.
 
 #include <map>
 #include <string>
@@ -10,16 +10,16 @@
 
 namespace shedlever {
 
-/// Smoothed mean and mean deviation, as TCP keeps them for its round trips: of times that vary by half of their mean,
-/// some four of five are below the sum of the two.
+/// Keeps a smoothed mean and mean deviation for each key, as TCP does for round-trip times (RFC 6298). The expected
+/// duration is their sum: about four of five durations are shorter if they vary by half of their mean.
 class DurationEstimator {
  public:
-  void record(const std::string& route, Duration time);
+  void record(const std::string& key, Duration duration);
 
-  /// @return time within which most requests of the route end; `otherwise` when none has ended yet.
-  Duration expected(const std::string& route, Duration otherwise) const;
+  /// @return duration that most samples of the key do not exceed; `fallback` if there is no sample yet.
+  Duration expected(const std::string& key, Duration fallback) const;
 
-  /// Another server runs here now.
+  /// Discards all samples.
   void reset() { estimates_.clear(); }
 
  private:
--- a/source/core/router/shared_retry_budget.cc
+++ b/source/core/router/shared_retry_budget.cc
@@ -6,7 +6,7 @@
 
 namespace {
 
-/// Even where the slack is shared by very many processes, one repeat must fit into a bucket.
+/// A bucket must hold at least one retry, however many processes share the slack.
 constexpr double kMinCapacity = 1.0;
 
 }  // namespace
--- a/source/core/router/shared_retry_budget.h
+++ b/source/core/router/shared_retry_budget.h
@@ -1,9 +1,8 @@
 #pragma once
 
 /// @file
-/// Limits what this process sends to servers beyond the first send of each request. The limit is one sum over all
-/// processes; each spends from the share of its own requests and its part of the common slack, so that the sum holds
-/// without any talk between them.
+/// Limits the retries that this process sends to servers. The limit applies to the sum over all processes: each process
+/// may spend a ratio of its own requests and its part of the common slack, so the sum holds without coordination.
 
 #include <cstddef>
 #include <map>
@@ -13,31 +12,31 @@
 namespace shedlever {
 
 struct RetryBudgetConfig {
-  /// Repeats allowed for each request.
+  /// Retries allowed per request.
   double ratio = 0.1;
-  /// Repeats allowed besides, for all processes together, in one window.
+  /// Additional retries allowed for all processes together in one window.
   double slack = 0;
 };
 
-/// One bucket a service. A bucket never holds more than this process's part of the slack, so in any window no more
-/// is spent than that part and the ratio of the window's requests.
+/// One token bucket per service. A bucket holds at most this process's part of the slack, or one retry if that is more.
+/// In any window no more is spent than the bucket's capacity and the ratio of the window's requests.
 class SharedRetryBudget {
  public:
   explicit SharedRetryBudget(const RetryBudgetConfig& config) : config_(config) {}
 
   void setConfig(const RetryBudgetConfig& config) { config_ = config; }
 
-  /// A service that has a budget of its own.
+  /// Sets the budget of one service, which replaces the common configuration for that service.
   void setServiceConfig(const ServiceName& service, const RetryBudgetConfig& config) { configs_[service] = config; }
 
-  /// @param processes how many share the slack.
+  /// @param process_count number of processes that share the slack.
   void setProcessCount(std::size_t process_count) { process_count_ = process_count; }
 
-  /// A request for the service begins.
+  /// Call when a request for the service arrives.
   void onRequest(const ServiceName& service);
 
-  /// Takes one repeat from the budget.
-  /// @return false when there is none left; nothing was taken.
+  /// Takes one retry from the budget.
+  /// @return false if none is left; nothing was taken.
   bool trySpend(const ServiceName& service);
 
  private:
--- a/source/core/router/slot_queue.cc
+++ b/source/core/router/slot_queue.cc
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Share of the newest service time in the mean.
+/// The newest service time has the weight 1/n in the mean.
 constexpr std::int64_t kMeanDivisor = 16;
 
 }  // namespace
 
 Duration SlotQueue::waitBehind(std::size_t ahead, TimePoint now) const {
-  const std::int64_t places = static_cast<std::int64_t>(ahead) + (running_ < slots_ ? 0 : 1);
-  return std::max(mean_service_time_ * places / static_cast<std::int64_t>(slots_),
+  const std::int64_t positions = static_cast<std::int64_t>(ahead) + (running_ < slots_ ? 0 : 1);
+  return std::max(mean_service_time_ * positions / static_cast<std::int64_t>(slots_),
                   start_rate_.timeUntilStartBehind(ahead, now));
 }
 
@@ -31,7 +31,7 @@
   return waitBehind(static_cast<std::size_t>(ahead), now);
 }
 
-QueueDecision SlotQueue::admit(QueueTicket ticket, const QueueRank& rank, TimePoint now, Duration longest_wait) {
+QueueDecision SlotQueue::admit(QueueTicket ticket, const QueueRank& rank, TimePoint now, Duration max_wait) {
   const bool may_start =
       !start_rate_.isLimited() || (waiting_.empty() && start_rate_.timeUntilNextStart(now) <= Duration::zero());
   if (running_ < slots_ && may_start) {
@@ -40,18 +40,18 @@
     return {QueueVerdict::Start, {}};
   }
   const Duration wait = predictedWait(rank, now);
-  if (wait > longest_wait) {
+  if (wait > max_wait) {
     return {QueueVerdict::Refuse, wait};
   }
-  waiting_.emplace(Entry{rank, ticket}, now + longest_wait);
+  waiting_.emplace(Entry{rank, ticket}, now + max_wait);
   ranks_.emplace(ticket, rank);
   return {QueueVerdict::Wait, {}};
 }
 
 QueueDecision SlotQueue::admit(QueueTicket ticket, const TenantShare& tenant, QueueRank rank, TimePoint now,
-                               Duration longest_wait) {
+                               Duration max_wait) {
   if (tenant.name.empty()) {
-    return admit(ticket, rank, now, longest_wait);
+    return admit(ticket, rank, now, max_wait);
   }
   const auto waiting = waiting_by_tenant_.find(tenant.name);
   const std::uint32_t count = waiting == waiting_by_tenant_.end() ? 0 : waiting->second;
@@ -59,7 +59,7 @@
     return {QueueVerdict::TenantFull, predictedWait(rank, now)};
   }
   rank.start_tag = fair_scheduler_.nextStartTag(tenant);
-  const QueueDecision decision = admit(ticket, rank, now, longest_wait);
+  const QueueDecision decision = admit(ticket, rank, now, max_wait);
   if (decision.verdict == QueueVerdict::Wait) {
     fair_scheduler_.onQueued(tenant);
     tenants_.emplace(ticket, tenant.name);
@@ -68,7 +68,7 @@
   return decision;
 }
 
-void SlotQueue::forgetTenant(QueueTicket ticket) {
+void SlotQueue::releaseTenant(QueueTicket ticket) {
   const auto tenant = tenants_.extract(ticket);
   if (!tenant.empty() && --waiting_by_tenant_[tenant.mapped()] == 0) {
     waiting_by_tenant_.erase(tenant.mapped());
@@ -94,7 +94,7 @@
   waiting_.erase(waiting_.begin());
   ranks_.erase(ticket);
   fair_scheduler_.onServed(entry.rank.start_tag);
-  forgetTenant(ticket);
+  releaseTenant(ticket);
   ++running_;
   start_rate_.onStart(now);
   return ticket;
@@ -107,7 +107,7 @@
   }
   waiting_.erase(Entry{found->second, ticket});
   ranks_.erase(found);
-  forgetTenant(ticket);
+  releaseTenant(ticket);
   return true;
 }
 
--- a/source/core/router/slot_queue.h
+++ b/source/core/router/slot_queue.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// The one place that counts a server's slots: which requests run, which wait, and which are refused because they
-/// would wait too long.
+/// Admission control for one server: counts its slots and decides which requests run, which wait, and which are refused
+/// because they would wait too long.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,33 +19,33 @@
 
 namespace shedlever {
 
-/// Names a request in one queue.
+/// Identifies a request within one queue.
 using QueueTicket = std::uint64_t;
 
 enum class QueueVerdict : std::uint8_t {
   Start,
   Wait,
-  Refuse,      ///< it would wait too long
-  TenantFull,  ///< its tenant has as many waiting as it may
+  Refuse,      ///< the request would wait too long
+  TenantFull,  ///< the tenant has reached its limit of waiting requests
 };
 
 struct QueueDecision {
   QueueVerdict verdict = QueueVerdict::Refuse;
-  /// How long the request would have waited; with Refuse.
+  /// How long the request would have waited; set with Refuse and TenantFull.
   Duration predicted_wait{};
 };
 
-/// Where a request stands in the queue.
+/// Determines the order of requests in the queue.
 struct QueueRank {
   /// 0 is the most urgent.
   std::uint32_t priority = 0;
-  /// Turn of its tenant, see `TenantFairScheduler`; 0 where tenants are not told apart.
+  /// Start tag from `TenantFairScheduler`; 0 for requests without a tenant.
   double start_tag = 0;
-  /// Latency objective; shorter ones go first: most of all calls of other servers, each of which holds a slot there
-  /// while it waits.
+  /// Latency objective; shorter ones go first. Short objectives mostly belong to calls from other servers, each of
+  /// which occupies a slot there while it waits.
   Duration target_latency{};
-  /// Until when an answer is waited for. What has more time left goes first: there is a queue only while there is too
-  /// little room for all, and who has waited long would be answered late.
+  /// Deadline of the request; later deadlines go first. A queue forms only while the server is overloaded, and a
+  /// request that has waited long would probably be answered too late anyway.
   TimePoint deadline{};
 
   bool operator==(const QueueRank&) const = default;
@@ -55,56 +55,58 @@
   }
 };
 
-/// Slots and a queue in order of rank and then of arrival. Refuses by predicted wait, at once.
+/// Slots and a queue, ordered by rank and then by arrival. A request whose predicted wait is too long is refused at
+/// once.
 class SlotQueue {
  public:
-  /// @param slots requests that run at once.
+  /// @param slots number of requests that may run concurrently.
   explicit SlotQueue(std::uint32_t slots) : slots_(slots) {}
 
   void setSlots(std::uint32_t slots) { slots_ = slots; }
 
-  /// @param per_second requests that are begun at most; none: as many as slots come free.
+  /// @param per_second maximum rate at which requests start; none: limited by the slots alone.
   void setStartLimit(std::optional<double> per_second) { start_rate_.setLimit(per_second); }
-  /// Others may have begun as many as may be.
+  /// Assumes that another router process has already started as many requests as the limit allows.
   void assumeStartLimitExhausted(TimePoint now) { start_rate_.assumeExhausted(now); }
 
-  /// A request arrives. With Start it occupies a slot already.
-  /// @param longest_wait it is refused when it would wait longer, and overdue once it has.
-  QueueDecision admit(QueueTicket ticket, const QueueRank& rank, TimePoint now, Duration longest_wait);
+  /// Handles the arrival of a request. With Start the request already occupies a slot.
+  /// @param max_wait the request is refused if it would wait longer, and becomes overdue if it will.
+  QueueDecision admit(QueueTicket ticket, const QueueRank& rank, TimePoint now, Duration max_wait);
 
-  /// As `arrive`, for a request of a tenant: it gets its tenant's next turn, or is refused when the tenant has as many
-  /// waiting as it may.
-  QueueDecision admit(QueueTicket ticket, const TenantShare& tenant, QueueRank rank, TimePoint now,
-                      Duration longest_wait);
+  /// As above for a request of a tenant: the request gets its tenant's next start tag. While all slots are in use, it
+  /// is refused if the tenant has reached its limit of waiting requests.
+  QueueDecision admit(QueueTicket ticket, const TenantShare& tenant, QueueRank rank, TimePoint now, Duration max_wait);
 
-  /// A running request ended.
-  /// @param service_time how long it ran; none if that tells nothing about the next one.
+  /// Frees the slot of a request that has ended.
+  /// @param service_time how long the request ran; none if the time is not representative.
   void onRequestEnded(std::optional<Duration> service_time);
 
-  /// Takes the next waiting request into a free slot.
+  /// Moves the next waiting request into a free slot.
+  /// @return its ticket; none if no slot is free, no request waits, or the start limit is reached.
   std::optional<QueueTicket> startNext(TimePoint now);
 
-  /// Takes a waiting request out; others are ignored.
-  /// @return whether it was waiting.
+  /// Removes a waiting request; other tickets are ignored.
+  /// @return whether the request was waiting.
   bool remove(QueueTicket ticket);
 
-  /// Takes out all requests that would wait too long, by what is ahead of them now: who came later may go first.
+  /// Removes all requests that would wait too long, given the requests that are ahead of them now. Requests with a
+  /// better rank that arrive later delay the others.
   std::vector<QueueTicket> removeOverdue(TimePoint now);
 
-  /// Takes out all waiting requests.
+  /// Removes all waiting requests.
   std::vector<QueueTicket> removeAll();
 
   ServerLoad load() const;
 
-  /// @return how long a request of this rank that arrived now would wait.
+  /// @return how long a request of this rank would wait if it arrived now.
   Duration predictedWait(const QueueRank& rank, TimePoint now) const;
 
-  /// @return mean time that a request runs.
+  /// @return mean time for which a request runs.
   Duration meanServiceTime() const { return mean_service_time_; }
 
  private:
-  void forgetTenant(QueueTicket ticket);
-  /// @return how long a request waits that has so many others before it.
+  void releaseTenant(QueueTicket ticket);
+  /// @return how long a request waits with this many requests ahead of it.
   Duration waitBehind(std::size_t ahead, TimePoint now) const;
 
   struct Entry {
@@ -117,11 +119,11 @@
   std::uint32_t running_ = 0;
   StartRateLimiter start_rate_;
   Duration mean_service_time_ = std::chrono::milliseconds(100);
-  /// Tickets rise with arrival, so the order is rank, then arrival. The value is the latest start.
+  /// Waiting requests with their latest start. Tickets increase with arrival, so the order is rank, then arrival.
   std::map<Entry, TimePoint> waiting_;
   std::unordered_map<QueueTicket, QueueRank> ranks_;
   TenantFairScheduler fair_scheduler_;
-  /// Tenant of each waiting request that has one.
+  /// Tenants of the waiting requests that have one.
   std::unordered_map<QueueTicket, TenantName> tenants_;
   std::map<TenantName, std::uint32_t> waiting_by_tenant_;
 };
--- a/source/core/router/split_picker.cc
+++ b/source/core/router/split_picker.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// Steps that a new round may be advanced by.
+/// A new round starts below this number of steps, so that large offsets stay cheap.
 constexpr std::size_t kMaxOffsetSteps = 100;
 
 std::vector<std::uint32_t> weightsOf(const Route& route) {
--- a/source/core/router/split_picker.h
+++ b/source/core/router/split_picker.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Divides the requests of a route among its services by weight.
+/// Splits the requests of a route among its services by weight.
 
 #include <cstddef>
 #include <map>
@@ -12,14 +12,15 @@
 
 namespace shedlever {
 
-/// Smooth weighted round robin: after any number of requests each part is less than one request off its share for
-/// every other part, so that short samples match the weights as well as long ones.
+/// Smooth weighted round robin. The number of requests per service stays close to its share at all times, so that short
+/// samples match the weights as well as long ones.
 class TrafficSplitter {
  public:
-  /// @param offset where in the round this process begins, so that many processes don't begin alike.
+  /// @param offset position in the round at which this process starts, so that processes do not all start with the same
+  ///   service.
   explicit TrafficSplitter(std::size_t offset) : offset_(offset) {}
 
-  /// @param route has at least one share.
+  /// @param route must have at least one share.
   const ServiceName& pick(const Route& route);
 
  private:
@@ -32,7 +33,7 @@
   RoundRobinState& stateOf(const Route& route);
 
   std::size_t offset_;
-  /// By route name. A route whose weights change begins a new round.
+  /// States by route name. A route whose weights change starts a new round.
   std::map<std::string, RoundRobinState> states_;
 };
 
--- a/source/core/router/start_rate.cc
+++ b/source/core/router/start_rate.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// A second, and what requests may be held up on their way to the server: they count when they arrive.
+/// One second plus the variation of delays on the way to the server, where requests count when they arrive.
 constexpr Duration kWindow = std::chrono::milliseconds(1100);
-/// Starts kept while there is no limit: more than a limit ever is.
+/// Limit of recorded starts; larger than any start limit per window.
 constexpr std::size_t kMaxRecordedStarts = 1024;
 
 }  // namespace
@@ -38,7 +38,7 @@
   if (!max_starts_per_window_) {
     return Duration::zero();
   }
-  // Each start makes room for another one a window later; what is ahead starts as early as it may.
+  // Each start allows another one a window later; the requests ahead are assumed to start as early as possible.
   const auto max_starts = static_cast<std::int64_t>(*max_starts_per_window_);
   std::int64_t predecessor = static_cast<std::int64_t>(starts_.size() + ahead) - max_starts;
   std::int64_t windows = 0;
@@ -47,8 +47,8 @@
   }
   TimePoint next = std::max(now, exhausted_until_) + kWindow * windows;
   if (predecessor >= 0) {
-    const TimePoint room_at = starts_[static_cast<std::size_t>(predecessor)] + kWindow;
-    next = std::max(next, room_at + kWindow * windows);
+    const TimePoint available_at = starts_[static_cast<std::size_t>(predecessor)] + kWindow;
+    next = std::max(next, available_at + kWindow * windows);
   }
   return next - now;
 }
--- a/source/core/router/start_rate.h
+++ b/source/core/router/start_rate.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// How many requests a second are begun at a server that has just started or has turned cold.
+/// Limits the rate at which requests start at a server that has just started or has become cold.
 
 #include <cstdint>
 #include <deque>
@@ -11,34 +11,37 @@
 
 namespace shedlever {
 
-/// A cold server bears a rate, however many slots it has, and falls over well above it. Starts are counted in a sliding
-/// window, also while there is no limit: a server may turn cold amid its work.
+/// A cold server handles a limited request rate, however many slots it has, and becomes overloaded above it. Starts are
+/// counted in a sliding window, also while there is no limit, because a server may become cold while it serves
+/// requests.
 class StartRateLimiter {
  public:
-  /// @param per_second requests that the server bears; none: as many as its slots take.
+  /// @param per_second requests that the server can handle per second; none: no limit.
   void setLimit(std::optional<double> per_second);
   bool isLimited() const { return max_starts_per_window_.has_value(); }
 
-  /// Nobody knows what was begun lately: by an earlier process, at the same life of the server.
+  /// Assumes that the current window is exhausted: another router process may have started requests at the same
+  /// server instance before.
   void assumeExhausted(TimePoint now);
 
   void onStart(TimePoint now);
 
-  /// @return how long until the next request may begin; zero if one may now.
+  /// @return time until the next request may start; zero if one may start now.
   Duration timeUntilNextStart(TimePoint now) const;
-  /// @return as `untilNext`, for one that has so many others before it.
+  /// @return time until a request may start that has this many requests ahead of it.
   Duration timeUntilStartBehind(std::size_t ahead, TimePoint now) const;
 
-  /// @return slots that the limit keeps busy with requests that run for so long; the limit is set.
+  /// Requires a limit.
+  /// @return number of slots that requests of this service time occupy at the limited rate.
   std::uint32_t slotsInUse(Duration service_time) const;
 
  private:
   void dropOldStarts(TimePoint now);
 
-  /// Starts in one window; none without a limit.
+  /// None if there is no limit.
   std::optional<std::uint32_t> max_starts_per_window_;
   std::deque<TimePoint> starts_;
-  /// Until then the whole window counts as used.
+  /// While a limit is set, no request may start before this time.
   TimePoint exhausted_until_{};
 };
 
--- a/source/core/router/tenant_turns.h
+++ b/source/core/router/tenant_turns.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// The order in which waiting requests of several tenants get a server's slots: start-time fair queueing after P.
-/// Goyal, H. Vin, H. Cheng, "Start-time Fair Queueing" (1996), section 2, with a cost of one for each request.
+/// Orders the waiting requests of several tenants by start-time fair queueing, after P. Goyal, H. Vin, H. Cheng,
+/// "Start-time Fair Queueing" (1996), section 2, with a cost of one for each request.
 
 #include <map>
 
@@ -10,25 +10,25 @@
 
 namespace shedlever {
 
-/// While several tenants have requests waiting, each is served in proportion to its weight, however many it sends.
+/// While several tenants have waiting requests, each is served in proportion to its weight, however many it sends.
 class TenantFairScheduler {
  public:
-  /// @return the turn that the tenant's next request would get; lower ones are served first.
+  /// @return the start tag of the tenant's next request; lower tags are served first.
   double nextStartTag(const TenantShare& tenant) const;
 
-  /// The tenant's next request waits with that turn.
+  /// Call when the tenant's next request is queued with its start tag.
   void onQueued(const TenantShare& tenant);
 
-  /// A request with that turn is served.
+  /// Call when a request with this start tag starts.
   void onServed(double start_tag);
 
-  /// Nothing waits any more: no tenant is ahead of another.
+  /// Discards all tags; call when no request waits.
   void reset();
 
  private:
-  /// Turn of the request served last.
+  /// Highest start tag of the requests served so far.
   double virtual_time_ = 0;
-  /// Where each tenant's next request stands at the earliest.
+  /// Lower bound of each tenant's next start tag.
   std::map<TenantName, double> next_start_tags_;
 };
 
--- a/source/core/sha256.h
+++ b/source/core/sha256.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// SHA-256 by libcrypto.
+/// SHA-256, implemented by libcrypto.
 
 #include <array>
 #include <cstddef>
@@ -13,7 +13,6 @@
 
 using Sha256Digest = std::array<unsigned char, kSha256Size>;
 
-/// @return the digest of the text.
 Sha256Digest sha256(std::string_view text);
 
 }  // namespace shedlever
--- a/test/core_router/failure_meter_test.cc
+++ b/test/core_router/failure_meter_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The share of requests that fail of late.
+/// The ratio of recent requests that failed, and its decay.
 
 #include "source/core/router/failure_meter.h"
 
@@ -13,8 +13,8 @@
 
 constexpr TimePoint kStart{seconds(1000)};
 
-/// @return the time of the last one.
-TimePoint note(FailureMeter& meter, int times, bool failed, TimePoint from, Duration gap) {
+/// Records `times` requests at intervals of `gap`. @return the time of the last one.
+TimePoint recordTimes(FailureMeter& meter, int times, bool failed, TimePoint from, Duration gap) {
   for (int i = 0; i < times; ++i) {
     from += gap;
     meter.record(failed, from);
@@ -22,35 +22,35 @@
   return from;
 }
 
-TEST(FailureMeterTest, NothingHasFailedAtFirst) { EXPECT_EQ(FailureMeter().failureRatio(kStart), 0.0); }
+TEST(FailureMeterTest, RatioIsZeroBeforeAnyRequest) { EXPECT_EQ(FailureMeter().failureRatio(kStart), 0.0); }
 
-TEST(FailureMeterTest, SingleFailureSaysLittle) {
+TEST(FailureMeterTest, SingleFailureGivesALowRatio) {
   FailureMeter meter;
   meter.record(true, kStart);
   EXPECT_LT(meter.failureRatio(kStart), 0.25);
 }
 
-TEST(FailureMeterTest, ServerThatFailsAllShowsSoWithinASecond) {
+TEST(FailureMeterTest, RatioRisesWithinASecondWhenAllRequestsFail) {
   FailureMeter meter;
-  TimePoint now = note(meter, 200, false, kStart, milliseconds(20));
+  TimePoint now = recordTimes(meter, 200, false, kStart, milliseconds(20));
   EXPECT_LT(meter.failureRatio(now), 0.01);
-  now = note(meter, 50, true, now, milliseconds(20));
+  now = recordTimes(meter, 50, true, now, milliseconds(20));
   EXPECT_GT(meter.failureRatio(now), 0.45);
 }
 
-TEST(FailureMeterTest, ServerThatIsSentNothingComesToBeTakenForSound) {
+TEST(FailureMeterTest, RatioDecaysWhileNoRequestsAreSent) {
   FailureMeter meter;
-  const TimePoint now = note(meter, 100, true, kStart, milliseconds(20));
+  const TimePoint now = recordTimes(meter, 100, true, kStart, milliseconds(20));
   EXPECT_GT(meter.failureRatio(now), 0.8);
   EXPECT_LT(meter.failureRatio(now + seconds(8)), 0.1);
   EXPECT_GT(meter.failureRatio(now + seconds(2)), 0.6);
 }
 
-TEST(FailureMeterTest, HalfOfThemFailing) {
+TEST(FailureMeterTest, RatioIsHalfWhenEverySecondRequestFails) {
   FailureMeter meter;
   TimePoint now = kStart;
   for (int i = 0; i < 200; ++i) {
-    now = note(meter, 1, i % 2 == 0, now, milliseconds(10));
+    now = recordTimes(meter, 1, i % 2 == 0, now, milliseconds(10));
   }
   EXPECT_NEAR(meter.failureRatio(now), 0.5, 0.05);
 }
--- a/test/core_router/key_waits_test.cc
+++ b/test/core_router/key_waits_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Expected waits for keys on their way.
+/// Expected waits for keys in transfer.
 
 #include "source/core/router/key_waits.h"
 
@@ -12,7 +12,7 @@
 
 constexpr TimePoint kStart = TimePoint(std::chrono::seconds(100));
 
-TEST(KeyWaitEstimatorTest, ExpectsWhatEarlierWaitsTook) {
+TEST(KeyWaitEstimatorTest, ExpectsTheDurationOfEarlierWaits) {
   KeyWaitEstimator waits;
   EXPECT_EQ(waits.expectedRemaining(5, kStart), Duration::zero());
   TimePoint now = kStart;
@@ -31,7 +31,7 @@
   EXPECT_LT(left, milliseconds(65));
 }
 
-TEST(KeyWaitEstimatorTest, LongerThanMostIsExpectedToTakeAsLongAgain) {
+TEST(KeyWaitEstimatorTest, WaitLongerThanExpectedIsExpectedToTakeAsLongAgain) {
   KeyWaitEstimator waits;
   waits.onWaiting(5, kStart);
   waits.update([](Key) { return false; }, kStart + milliseconds(100));
--- a/test/core_router/link_budget_test.cc
+++ b/test/core_router/link_budget_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Bytes for a slow link go out at its pace.
+/// Rate limit of a slow link, and estimated response sizes.
 
 #include "source/core/router/link_budget.h"
 
@@ -21,7 +21,7 @@
   return config;
 }
 
-TEST(LinkBudgetTest, OpensWhenTheLinkHasCarriedWhatWasHandedOver) {
+TEST(LinkBudgetTest, IsAvailableOnceTheLinkHasTransmittedTheSpentBytes) {
   LinkBudget budget(slowLink());
   const TimePoint start{std::chrono::seconds(5)};
   EXPECT_EQ(budget.timeUntilAvailable(start), Duration::zero());
@@ -31,7 +31,7 @@
   EXPECT_EQ(budget.timeUntilAvailable(start + milliseconds(21)), Duration::zero());
 }
 
-TEST(LinkBudgetTest, RestSavesNoMoreThanTheBurst) {
+TEST(LinkBudgetTest, IdleTimeAccumulatesNoMoreThanTheBurst) {
   LinkBudget budget(slowLink());
   const TimePoint start{std::chrono::seconds(5)};
   budget.spend(1, start);
@@ -40,14 +40,14 @@
   EXPECT_EQ(budget.timeUntilAvailable(later), milliseconds(10));
 }
 
-TEST(LinkBudgetTest, LinkWithoutALimitIsAlwaysOpen) {
+TEST(LinkBudgetTest, LinkWithoutALimitIsAlwaysAvailable) {
   LinkBudget budget(LinkConfig{});
   budget.spend(1U << 30U, TimePoint(milliseconds(1)));
   EXPECT_EQ(budget.timeUntilAvailable(TimePoint(milliseconds(1))), Duration::zero());
   EXPECT_EQ(budget.transmissionTime(1e9), Duration::zero());
 }
 
-TEST(ResponseSizeEstimatorTest, OnlyLargeAnswersAreExpected) {
+TEST(ResponseSizeEstimatorTest, ExpectsZeroBytesForSmallResponses) {
   ResponseSizeEstimator sizes;
   EXPECT_EQ(sizes.expectedBytes(RouteKind::Download), 0);
   sizes.record(RouteKind::Idempotent, 1500);
--- a/test/core_router/list_schedule_test.cc
+++ b/test/core_router/list_schedule_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Times between two lists of a kind of objects, and of tries after failures.
+/// Intervals between lists of one kind of objects, and backoff after failures.
 
 #include "source/core/router/list_schedule.h"
 
@@ -15,7 +15,7 @@
 constexpr ListIntervals kIntervals{milliseconds(2500), milliseconds(8000), milliseconds(1000), milliseconds(400),
                                    milliseconds(1600)};
 
-TEST(RetryBackoffTest, DoublesUpToItsLimitAndStartsAnewAfterASuccess) {
+TEST(RetryBackoffTest, DoublesUpToItsLimitAndIsResetByASuccess) {
   RetryBackoff backoff(milliseconds(100), milliseconds(350));
   EXPECT_EQ(backoff.onFailure(), milliseconds(100));
   EXPECT_EQ(backoff.onFailure(), milliseconds(200));
@@ -25,7 +25,7 @@
   EXPECT_EQ(backoff.onFailure(), milliseconds(100));
 }
 
-TEST(ListScheduleTest, PausesByWhatIsLacking) {
+TEST(ListScheduleTest, IntervalDependsOnWhatIsMissing) {
   ListSchedule schedule(kIntervals);
   EXPECT_LE(schedule.dueAt(ListNeed::Nothing), kStart);
   schedule.onListed(kStart);
@@ -34,9 +34,8 @@
   EXPECT_EQ(schedule.dueAt(ListNeed::Missing), kStart + milliseconds(1000));
 }
 
-// Seen: a store that refused some nodes was asked again by them for each reply that told of a newer table;
-// 1,496 lists in 9 s.
-TEST(ListScheduleTest, NothingIsListedBeforeTheBackoffOfAFailureIsOver) {
+// Guards against a flood of lists: replies that mention a newer table must not trigger retries during the backoff.
+TEST(ListScheduleTest, NoListIsDueBeforeTheBackoffAfterAFailureHasElapsed) {
   ListSchedule schedule(kIntervals);
   schedule.onListed(kStart);
   const TimePoint failed = kStart + milliseconds(20000);
@@ -47,13 +46,13 @@
   EXPECT_EQ(schedule.dueAt(ListNeed::Newer), failed + milliseconds(1200));
 }
 
-TEST(ListScheduleTest, BackoffHoldsForTheFirstListAsWell) {
+TEST(ListScheduleTest, BackoffAppliesToTheFirstListAsWell) {
   ListSchedule schedule(kIntervals);
   schedule.onFailed(kStart);
   EXPECT_EQ(schedule.dueAt(ListNeed::Missing), kStart + milliseconds(400));
 }
 
-TEST(ListScheduleTest, OnlyTheFirstListAndOneForSomethingNewerMustBeFresh) {
+TEST(ListScheduleTest, OnlyTheFirstListAndAListForANewerObjectMustBeFresh) {
   ListSchedule schedule(kIntervals);
   EXPECT_TRUE(schedule.mustBeFresh(ListNeed::Nothing));
   schedule.onFailed(kStart);
--- a/test/core_router/quarantine/crash_quarantine_test.cc
+++ b/test/core_router/quarantine/crash_quarantine_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Which requests are kept from servers, by the ends of servers that ran them.
+/// Quarantine of requests that crash servers.
 
 #include "source/core/router/quarantine/crash_quarantine.h"
 
@@ -19,7 +19,7 @@
 constexpr RequestFingerprint kBystander{2, 2};
 constexpr RequestFingerprint kOther{3, 3};
 
-ServerEndId endOf(const std::string& instance, std::uint64_t seen_at_us = 1) {
+ServerEndId crashId(const std::string& instance, std::uint64_t seen_at_us = 1) {
   return {InstanceId(instance), seen_at_us};
 }
 
@@ -27,12 +27,12 @@
 
 class CrashQuarantineTest : public ::testing::Test {
  protected:
-  ServerEndsFrame end(const std::string& instance, const std::vector<RequestFingerprint>& unanswered) {
+  ServerEndsFrame crash(const std::string& instance, const std::vector<RequestFingerprint>& unanswered) {
     now_ += milliseconds(100);
-    return quarantine_.onLocalCrash(endOf(instance), unanswered, now_);
+    return quarantine_.onLocalCrash(crashId(instance), unanswered, now_);
   }
 
-  bool isKeptBack(const RequestFingerprint& request) const {
+  bool isQuarantined(const RequestFingerprint& request) const {
     return quarantine_.remainingTime(request, now_).has_value();
   }
 
@@ -40,117 +40,117 @@
   TimePoint now_ = kStart;
 };
 
-TEST_F(CrashQuarantineTest, OneEndProvesNothing) {
-  end("i-1", {kFatal});
-  EXPECT_FALSE(isKeptBack(kFatal));
+TEST_F(CrashQuarantineTest, SingleCrashQuarantinesNothing) {
+  crash("i-1", {kFatal});
+  EXPECT_FALSE(isQuarantined(kFatal));
   EXPECT_FALSE(quarantine_.isActive());
 }
 
-TEST_F(CrashQuarantineTest, EndThatNamesARequestTwiceIsOneEnd) {
-  quarantine_.merge({{{endOf("i-1"), 0, {kFatal, kFatal, kFatal}}}, {}}, now_);
+TEST_F(CrashQuarantineTest, CrashThatListsARequestTwiceCountsOnce) {
+  quarantine_.merge({{{crashId("i-1"), 0, {kFatal, kFatal, kFatal}}}, {}}, now_);
   EXPECT_FALSE(quarantine_.isActive());
 }
 
-TEST_F(CrashQuarantineTest, TwoEndsProveItOfTheOnlyRequestThatWasAtBoth) {
-  end("i-1", {kFatal, kBystander});
-  end("i-2", {kFatal, kOther});
-  EXPECT_TRUE(isKeptBack(kFatal));
-  EXPECT_FALSE(isKeptBack(kBystander));
-  EXPECT_FALSE(isKeptBack(kOther));
+TEST_F(CrashQuarantineTest, SoleRequestUnansweredAtTwoCrashesIsQuarantined) {
+  crash("i-1", {kFatal, kBystander});
+  crash("i-2", {kFatal, kOther});
+  EXPECT_TRUE(isQuarantined(kFatal));
+  EXPECT_FALSE(isQuarantined(kBystander));
+  EXPECT_FALSE(isQuarantined(kOther));
   EXPECT_TRUE(quarantine_.isActive());
 }
 
-// What was lost beside it is repeated like itself, and meets it again at the next server.
-TEST_F(CrashQuarantineTest, WhereTwoRequestsWereAtBothEndsAThirdDecides) {
-  end("i-1", {kFatal, kBystander});
-  end("i-2", {kFatal, kBystander});
+// A harmless request that was lost with the fatal one is retried too and may meet it again at the next server.
+TEST_F(CrashQuarantineTest, ThirdCrashDecidesBetweenTwoRequestsUnansweredAtTwoCrashes) {
+  crash("i-1", {kFatal, kBystander});
+  crash("i-2", {kFatal, kBystander});
   EXPECT_FALSE(quarantine_.isActive());
-  end("i-3", {kFatal});
-  EXPECT_TRUE(isKeptBack(kFatal));
-  EXPECT_FALSE(isKeptBack(kBystander));
+  crash("i-3", {kFatal});
+  EXPECT_TRUE(isQuarantined(kFatal));
+  EXPECT_FALSE(isQuarantined(kBystander));
 }
 
-TEST_F(CrashQuarantineTest, AnsweredRequestIsClearedOfTheEndsBefore) {
-  end("i-1", {kFatal});
+TEST_F(CrashQuarantineTest, AnsweredRequestIsClearedOfEarlierCrashes) {
+  crash("i-1", {kFatal});
   quarantine_.onServed(kFatal, microsecondsOf(now_), now_ + milliseconds(1));
-  end("i-2", {kFatal});
-  EXPECT_FALSE(isKeptBack(kFatal));
-  end("i-3", {kFatal});
-  EXPECT_TRUE(isKeptBack(kFatal));
+  crash("i-2", {kFatal});
+  EXPECT_FALSE(isQuarantined(kFatal));
+  crash("i-3", {kFatal});
+  EXPECT_TRUE(isQuarantined(kFatal));
 }
 
-TEST_F(CrashQuarantineTest, WhatIsClearedLeavesTheOtherAsTheOnlySuspect) {
-  end("i-1", {kFatal, kBystander});
-  end("i-2", {kFatal, kBystander});
+TEST_F(CrashQuarantineTest, ClearingOneSuspectQuarantinesTheRemainingOne) {
+  crash("i-1", {kFatal, kBystander});
+  crash("i-2", {kFatal, kBystander});
   quarantine_.onServed(kBystander, microsecondsOf(now_), now_ + milliseconds(1));
-  EXPECT_TRUE(isKeptBack(kFatal));
-  EXPECT_FALSE(isKeptBack(kBystander));
+  EXPECT_TRUE(isQuarantined(kFatal));
+  EXPECT_FALSE(isQuarantined(kBystander));
 }
 
-TEST_F(CrashQuarantineTest, QuarantinedRequestThatIsAnsweredAfterAllIsFree) {
-  end("i-1", {kFatal});
-  end("i-2", {kFatal});
-  ASSERT_TRUE(isKeptBack(kFatal));
-  const ServerEndsFrame news = quarantine_.onServed(kFatal, microsecondsOf(now_), now_ + milliseconds(1));
-  EXPECT_EQ(news.served.size(), 1U);
-  EXPECT_FALSE(isKeptBack(kFatal));
+TEST_F(CrashQuarantineTest, QuarantinedRequestThatIsAnsweredIsReleased) {
+  crash("i-1", {kFatal});
+  crash("i-2", {kFatal});
+  ASSERT_TRUE(isQuarantined(kFatal));
+  const ServerEndsFrame message = quarantine_.onServed(kFatal, microsecondsOf(now_), now_ + milliseconds(1));
+  EXPECT_EQ(message.served.size(), 1U);
+  EXPECT_FALSE(isQuarantined(kFatal));
   EXPECT_FALSE(quarantine_.isActive());
 }
 
-// A server may start again under its id.
-TEST_F(CrashQuarantineTest, EndsOfOneIdAreToldApartByTheirTime) {
-  quarantine_.onLocalCrash(endOf("i-1", 5), {kFatal}, now_);
-  quarantine_.onLocalCrash(endOf("i-1", 5), {kFatal}, now_ + milliseconds(1));
-  EXPECT_FALSE(isKeptBack(kFatal));
-  quarantine_.onLocalCrash(endOf("i-1", 6), {kFatal}, now_ + milliseconds(2));
-  EXPECT_TRUE(isKeptBack(kFatal));
+// A server may restart with the same id.
+TEST_F(CrashQuarantineTest, CrashesOfOneInstanceIdAreDistinguishedByTime) {
+  quarantine_.onLocalCrash(crashId("i-1", 5), {kFatal}, now_);
+  quarantine_.onLocalCrash(crashId("i-1", 5), {kFatal}, now_ + milliseconds(1));
+  EXPECT_FALSE(isQuarantined(kFatal));
+  quarantine_.onLocalCrash(crashId("i-1", 6), {kFatal}, now_ + milliseconds(2));
+  EXPECT_TRUE(isQuarantined(kFatal));
 }
 
-TEST_F(CrashQuarantineTest, EndsSomeTime) {
-  end("i-1", {kFatal});
-  end("i-2", {kFatal});
+TEST_F(CrashQuarantineTest, QuarantineEndsAfterItsDuration) {
+  crash("i-1", {kFatal});
+  crash("i-2", {kFatal});
   EXPECT_GT(*quarantine_.remainingTime(kFatal, now_), minutes(29));
   now_ += QuarantineConfig{}.duration + seconds(1);
-  EXPECT_FALSE(isKeptBack(kFatal));
+  EXPECT_FALSE(isQuarantined(kFatal));
   EXPECT_TRUE(quarantine_.removeExpired(now_));
   EXPECT_FALSE(quarantine_.isActive());
   EXPECT_EQ(quarantine_.crashCount(), 0U);
 }
 
-TEST_F(CrashQuarantineTest, RecordAloneKeepsItBack) {
+TEST_F(CrashQuarantineTest, RecordAloneQuarantinesARequest) {
   quarantine_.onQuarantineRecord(kFatal, now_ + minutes(5), true, now_);
-  EXPECT_TRUE(isKeptBack(kFatal));
+  EXPECT_TRUE(isQuarantined(kFatal));
   ASSERT_EQ(quarantine_.quarantined().size(), 1U);
   EXPECT_TRUE(quarantine_.quarantined().front().in_own_record);
   quarantine_.onServed(kFatal, microsecondsOf(now_), now_ + seconds(1));
-  EXPECT_FALSE(isKeptBack(kFatal));
+  EXPECT_FALSE(isQuarantined(kFatal));
   quarantine_.onQuarantineRecord(kFatal, now_ + minutes(5), true, now_ + seconds(2));
-  EXPECT_FALSE(isKeptBack(kFatal)) << "an old record came back";
+  EXPECT_FALSE(isQuarantined(kFatal)) << "an old record came back";
 }
 
-// A record that no process of this code wrote must not keep a request back for ever.
-TEST_F(CrashQuarantineTest, RecordKeepsItBackForTheQuarantinesTimeAtMost) {
+// Guards against a quarantine without end from a record with an invalid time.
+TEST_F(CrashQuarantineTest, RecordQuarantinesARequestForTheConfiguredDurationAtMost) {
   quarantine_.onQuarantineRecord(kFatal, now_ + std::chrono::hours(10000), false, now_);
   EXPECT_LE(*quarantine_.remainingTime(kFatal, now_), QuarantineConfig{}.duration);
   quarantine_.onQuarantineRecord(kOther, now_ - seconds(1), false, now_);
-  EXPECT_FALSE(isKeptBack(kOther));
+  EXPECT_FALSE(isQuarantined(kOther));
 }
 
-TEST_F(CrashQuarantineTest, OthersAreToldOfEachEndAndPassOnOnlyWhatPointsAtOneRequest) {
-  const ServerEndsFrame first = end("i-1", {kFatal, kBystander});
+TEST_F(CrashQuarantineTest, PeersForwardOnlyCrashesThatShareASuspect) {
+  const ServerEndsFrame first = crash("i-1", {kFatal, kBystander});
   ASSERT_EQ(first.ends.size(), 1U);
-  const ServerEndsFrame second = end("i-2", {kFatal, kOther});
+  const ServerEndsFrame second = crash("i-2", {kFatal, kOther});
   EXPECT_EQ(second.ends.size(), 2U);
   CrashQuarantine other{{}};
   EXPECT_TRUE(other.merge(first, now_).empty());
   EXPECT_EQ(other.merge(second, now_).ends.size(), 2U);
-  EXPECT_TRUE(other.merge(second, now_).empty()) << "told twice";
+  EXPECT_TRUE(other.merge(second, now_).empty()) << "repeated message";
   EXPECT_TRUE(other.remainingTime(kFatal, now_).has_value());
 }
 
-TEST_F(CrashQuarantineTest, ProcessThatHasJustStartedIsToldAll) {
-  end("i-1", {kFatal, kBystander});
-  end("i-2", {kFatal, kOther});
+TEST_F(CrashQuarantineTest, SummaryGivesANewPeerTheFullState) {
+  crash("i-1", {kFatal, kBystander});
+  crash("i-2", {kFatal, kOther});
   quarantine_.onServed(kBystander, microsecondsOf(now_), now_);
   CrashQuarantine other{{}};
   other.merge(quarantine_.summary(now_ + seconds(2)), now_ + seconds(2));
@@ -158,18 +158,19 @@
   EXPECT_FALSE(other.remainingTime(kBystander, now_ + seconds(2)).has_value());
 }
 
-// One gate has answered a request between two ends that other gates saw; only it knows. It says so once that counts.
-TEST_F(CrashQuarantineTest, GateThatHasServedASuspectTellsOthersThatCountItsEnds) {
-  CrashQuarantine served_it{{}};
-  const ServerEndsFrame first = end("i-1", {kBystander});
-  served_it.merge(first, now_);
-  EXPECT_TRUE(served_it.onServed(kBystander, microsecondsOf(now_), now_ + milliseconds(10)).empty())
-      << "nobody counts yet";
-  const ServerEndsFrame second = end("i-2", {kBystander});
-  ASSERT_TRUE(isKeptBack(kBystander));
-  const ServerEndsFrame news = served_it.merge(second, now_);
-  quarantine_.merge(news, now_);
-  EXPECT_FALSE(isKeptBack(kBystander));
+// One process has served the request between two crashes that another process saw. It must report this as soon as the
+// crashes count.
+TEST_F(CrashQuarantineTest, ProcessThatServedASuspectClearsItAtPeersThatCountItsCrashes) {
+  CrashQuarantine serving{{}};
+  const ServerEndsFrame first = crash("i-1", {kBystander});
+  serving.merge(first, now_);
+  EXPECT_TRUE(serving.onServed(kBystander, microsecondsOf(now_), now_ + milliseconds(10)).empty())
+      << "no peer counts crashes yet";
+  const ServerEndsFrame second = crash("i-2", {kBystander});
+  ASSERT_TRUE(isQuarantined(kBystander));
+  const ServerEndsFrame message = serving.merge(second, now_);
+  quarantine_.merge(message, now_);
+  EXPECT_FALSE(isQuarantined(kBystander));
 }
 
 TEST_F(CrashQuarantineTest, MemoryIsBounded) {
@@ -179,49 +180,50 @@
     for (std::uint64_t j = 0; j < 300; ++j) {
       unanswered.push_back({i, j});
     }
-    quarantine_.onLocalCrash(endOf("i-" + std::to_string(i)), unanswered, now_);
+    quarantine_.onLocalCrash(crashId("i-" + std::to_string(i)), unanswered, now_);
   }
   EXPECT_LE(quarantine_.crashCount(), 256U);
   EXPECT_LE(quarantine_.summary(now_).ends.size(), 256U);
   EXPECT_LE(quarantine_.summary(now_).ends.front().unanswered.size(), 128U);
 }
 
-// News come in any order, more than once, and by ways of different length: all processes judge alike in the end.
-TEST(CrashQuarantineProperty, OrderOfNewsDoesNotMatter) {
+// Messages arrive in any order and repeatedly; all processes must reach the same result.
+TEST(CrashQuarantineProperty, OrderOfMessagesDoesNotMatter) {
   constexpr int kSeeds = 60;
-  constexpr int kNews = 12;
+  constexpr int kMessages = 12;
   for (int seed = 0; seed < kSeeds; ++seed) {
     std::mt19937_64 random(static_cast<std::uint64_t>(seed));
-    std::vector<ServerEndsFrame> news;
+    std::vector<ServerEndsFrame> messages;
     const auto request = [&random] { return RequestFingerprint{0, random() % 6}; };
-    for (int i = 0; i < kNews; ++i) {
+    for (int i = 0; i < kMessages; ++i) {
       const Duration::rep age = Duration(milliseconds(random() % 10000)).count();
       if (random() % 4 == 0) {
-        news.push_back({{}, {{request(), microsecondsOf(kStart - Duration(age)), age}}});
+        messages.push_back({{}, {{request(), microsecondsOf(kStart - Duration(age)), age}}});
       } else {
-        news.push_back({{{endOf("i-" + std::to_string(i)), age, {request(), request()}}}, {}});
+        messages.push_back({{{crashId("i-" + std::to_string(i)), age, {request(), request()}}}, {}});
       }
     }
-    // Ends first, as every process tells them before what clears them of these.
-    std::stable_partition(news.begin(), news.end(), [](const auto& one) { return !one.ends.empty(); });
-    const auto ends = std::count_if(news.begin(), news.end(), [](const auto& one) { return !one.ends.empty(); });
-    std::vector<std::vector<RequestFingerprint>> judged;
+    // Crashes come first, because every process sends them before the served requests that clear them.
+    std::stable_partition(messages.begin(), messages.end(), [](const auto& message) { return !message.ends.empty(); });
+    const auto with_crashes =
+        std::count_if(messages.begin(), messages.end(), [](const auto& message) { return !message.ends.empty(); });
+    std::vector<std::vector<RequestFingerprint>> results;
     for (int process = 0; process < 3; ++process) {
       CrashQuarantine quarantine{{}};
-      for (const ServerEndsFrame& one : news) {
-        quarantine.merge(one, kStart);
-        quarantine.merge(one, kStart);
+      for (const ServerEndsFrame& message : messages) {
+        quarantine.merge(message, kStart);
+        quarantine.merge(message, kStart);
       }
-      std::vector<RequestFingerprint> named;
-      for (const auto& one : quarantine.quarantined()) {
-        named.push_back(one.request);
+      std::vector<RequestFingerprint> quarantined;
+      for (const auto& entry : quarantine.quarantined()) {
+        quarantined.push_back(entry.request);
       }
-      judged.push_back(named);
-      std::shuffle(news.begin(), news.begin() + ends, random);
-      std::shuffle(news.begin() + ends, news.end(), random);
+      results.push_back(quarantined);
+      std::shuffle(messages.begin(), messages.begin() + with_crashes, random);
+      std::shuffle(messages.begin() + with_crashes, messages.end(), random);
     }
-    EXPECT_EQ(judged[0], judged[1]) << "seed " << seed;
-    EXPECT_EQ(judged[0], judged[2]) << "seed " << seed;
+    EXPECT_EQ(results[0], results[1]) << "seed " << seed;
+    EXPECT_EQ(results[0], results[2]) << "seed " << seed;
   }
 }
 
--- a/test/core_router/quarantine/fingerprint_test.cc
+++ b/test/core_router/quarantine/fingerprint_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// When two requests count as the same one asked again.
+/// Which requests count as repeats of the same request.
 
 #include "source/core/router/quarantine/fingerprint.h"
 
@@ -10,15 +10,15 @@
 
 HttpRequest request() { return {"POST", "/read/x?y=1", {{"Host", "h"}, {"X-Request-Id", "r1"}}, "body"}; }
 
-TEST(FingerprintTest, IdDeadlineAndKeyDontCount) {
+TEST(FingerprintTest, IdDeadlineAndKeyAreIgnored) {
   HttpRequest repeat = request();
   repeat.headers = {{"X-Request-Id", "r2"}, {"X-Request-Deadline", "5"}, {"X-Shard-Key", "7"}, {"host", "h"}};
   EXPECT_EQ(fingerprintOf(repeat), fingerprintOf(request()));
 }
 
-// Headers of the client's own that change with each repeat (a trace, a counter of tries, who it is) and the service of
-// the machine that it comes in at hide nothing.
-TEST(FingerprintTest, HeadersThatDifferFromOneRepeatToTheNextDontCount) {
+// Client headers that change with each repeat, such as traces or attempt counters, and the calling service must not
+// hide a repeat.
+TEST(FingerprintTest, HeadersThatDifferBetweenRepeatsAreIgnored) {
   HttpRequest repeat = request();
   repeat.headers.push_back({"X-Try", "2"});
   repeat.headers.push_back({"Traceparent", "00-1-2-01"});
@@ -26,15 +26,15 @@
   EXPECT_EQ(fingerprintOf(repeat), fingerprintOf(request()));
 }
 
-// A query is a part of what a server runs: a request that carries another one each time is another request each time.
-// Were paths taken alone, one bad query would bar all others of its path.
-TEST(FingerprintTest, QueryCounts) {
+// The query determines the server's work. If it were ignored, one fatal query would quarantine all requests of its
+// path.
+TEST(FingerprintTest, DifferentQueriesGiveDifferentFingerprints) {
   HttpRequest other = request();
   other.target = "/read/x?y=2";
   EXPECT_NE(fingerprintOf(other), fingerprintOf(request()));
 }
 
-TEST(FingerprintTest, MethodHostTargetAndBodyCount) {
+TEST(FingerprintTest, MethodHostTargetAndBodyAreIncluded) {
   std::vector<RequestFingerprint> all = {fingerprintOf(request())};
   const auto change = [&all](const std::function<void(HttpRequest&)>& edit) {
     HttpRequest changed = request();
@@ -50,8 +50,8 @@
   EXPECT_EQ(std::unique(all.begin(), all.end()), all.end());
 }
 
-// A method of a client's choice and the host must not add up to another request.
-TEST(FingerprintTest, PartsDontRunTogether) {
+// A client-chosen method must not be able to imitate a request with another method and host.
+TEST(FingerprintTest, PartsAreNotConcatenatedAmbiguously) {
   HttpRequest joined = request();
   joined.method = "POSTh";
   joined.headers[0].value = "";
--- a/test/core_router/quarantine/quarantine_spread_test.cc
+++ b/test/core_router/quarantine/quarantine_spread_test.cc
@@ -1,11 +1,10 @@
 /// @file
-/// A request under which servers end, at many machines at once: how many servers it reaches, who else is refused, and
-/// what it takes to tell. Virtual time, fixed seeds, no network.
+/// Simulates a request that crashes servers, sent through many machines at once: how many servers it crashes, how many
+/// harmless requests are refused, and how many messages are needed. Virtual time, fixed seeds, no network.
 ///
-/// The load: four servers of 18 slots, 300 requests a second of 0.15 s each in words of their own, as on a service of
-/// 16 machines that is half full. The fatal request comes every 20 to 400 ms at a machine drawn at random and ends its
-/// server after 0.1 s; the server is back 3 s later. What was lost beside it is asked again at once, and once more.
-/// News take up to 60 ms from process to process, two zones apart on a busy machine.
+/// Load: four servers with 18 slots each and about 300 different requests per second of 0.15 s each. The fatal request
+/// arrives every 20 to 400 ms at a random machine and crashes its server after 0.1 s; the server restarts 3 s later.
+/// Requests lost in a crash are retried up to twice. Messages between processes take up to 60 ms.
 
 #include <gtest/gtest.h>
 
@@ -23,13 +22,14 @@
 
 constexpr TimePoint kStart{std::chrono::hours(10)};
 constexpr RequestFingerprint kFatal{1, 1};
-constexpr std::uint64_t kMostNewsMs = 60;
+constexpr std::uint64_t kMaxMessageDelayMs = 60;
 
 std::uint64_t microsecondsOf(TimePoint time) { return static_cast<std::uint64_t>(time.time_since_epoch().count()); }
 
-class Spread {
+/// Processes that exchange quarantine messages with random delays.
+class PeerNetwork {
  public:
-  Spread(std::size_t processes, std::uint64_t seed) : random_(seed) {
+  PeerNetwork(std::size_t processes, std::uint64_t seed) : random_(seed) {
     for (std::size_t i = 0; i < processes; ++i) {
       quarantines_.emplace_back(QuarantineConfig{});
     }
@@ -37,28 +37,28 @@
 
   CrashQuarantine& of(std::size_t process) { return quarantines_[process]; }
   std::size_t processes() const { return quarantines_.size(); }
-  std::uint64_t draw(std::uint64_t below) { return random_() % below; }
+  std::uint64_t randomBelow(std::uint64_t below) { return random_() % below; }
 
   void at(TimePoint time, std::function<void()> step) { steps_.emplace(time, std::move(step)); }
 
-  /// @param cut a process that hears nothing, and is not heard.
-  void tellAll(std::size_t sender, const ServerEndsFrame& news) {
+  /// Sends a message to all other processes, except from or to the partitioned one.
+  void broadcast(std::size_t sender, const ServerEndsFrame& message) {
     for (std::size_t other = 0; other < processes(); ++other) {
-      if (!news.empty() && other != sender && sender != cut && other != cut) {
-        tell(other, news);
+      if (!message.empty() && other != sender && sender != partitioned && other != partitioned) {
+        send(other, message);
       }
     }
   }
 
-  void tell(std::size_t receiver, const ServerEndsFrame& news) {
-    ++told;
-    const Duration way = milliseconds(1 + draw(kMostNewsMs));
-    at(now + way, [this, receiver, news] { tellAll(receiver, of(receiver).merge(news, now)); });
+  void send(std::size_t receiver, const ServerEndsFrame& message) {
+    ++messages_sent;
+    const Duration delay = milliseconds(1 + randomBelow(kMaxMessageDelayMs));
+    at(now + delay, [this, receiver, message] { broadcast(receiver, of(receiver).merge(message, now)); });
   }
 
-  /// @return whether all steps before the end were run.
-  bool runUntil(TimePoint end, std::size_t most_steps = 1'000'000) {
-    for (std::size_t step = 0; step < most_steps; ++step) {
+  /// @return whether all steps up to `end` were run within `max_steps`.
+  bool runUntil(TimePoint end, std::size_t max_steps = 1'000'000) {
+    for (std::size_t step = 0; step < max_steps; ++step) {
       if (steps_.empty() || steps_.begin()->first > end) {
         now = end;
         return true;
@@ -71,8 +71,9 @@
   }
 
   TimePoint now = kStart;
-  std::size_t told = 0;
-  std::size_t cut = SIZE_MAX;
+  std::size_t messages_sent = 0;
+  /// Process that neither receives nor sends broadcasts; SIZE_MAX: none.
+  std::size_t partitioned = SIZE_MAX;
 
  private:
   std::mt19937_64 random_;
@@ -80,68 +81,67 @@
   std::multimap<TimePoint, std::function<void()>> steps_;
 };
 
-// Seen on hunted days: a process passed on that a request had been served, with an age that did not count its own way;
-// to the next one it was newer than what that knew, which passed it on as well. All processes did nothing else from
-// the first new stream on.
-TEST(QuarantineSpreadTest, NewsDieOut) {
+// Guards against a message loop: a report of a served request must not be forwarded by processes that already know it.
+TEST(QuarantineSpreadTest, MessagesStopAfterTheLastChange) {
   constexpr std::size_t kProcesses = 8;
-  Spread spread(kProcesses, 1);
-  spread.tellAll(0, spread.of(0).onLocalCrash({InstanceId("i-1"), 1}, {kFatal}, spread.now));
-  ASSERT_TRUE(spread.runUntil(kStart + seconds(1)));
-  spread.of(3).onServed(kFatal, microsecondsOf(spread.now), spread.now);
+  PeerNetwork network(kProcesses, 1);
+  network.broadcast(0, network.of(0).onLocalCrash({InstanceId("i-1"), 1}, {kFatal}, network.now));
+  ASSERT_TRUE(network.runUntil(kStart + seconds(1)));
+  network.of(3).onServed(kFatal, microsecondsOf(network.now), network.now);
   for (std::size_t process = 0; process < kProcesses; ++process) {
-    spread.tell(process, spread.of(3).summary(spread.now));
+    network.send(process, network.of(3).summary(network.now));
   }
-  spread.tellAll(1, spread.of(1).onLocalCrash({InstanceId("i-2"), 2}, {kFatal}, spread.now));
-  ASSERT_TRUE(spread.runUntil(kStart + seconds(20), 5000));
-  EXPECT_LE(spread.told, 6 * kProcesses * kProcesses);
+  network.broadcast(1, network.of(1).onLocalCrash({InstanceId("i-2"), 2}, {kFatal}, network.now));
+  ASSERT_TRUE(network.runUntil(kStart + seconds(20), 5000));
+  EXPECT_LE(network.messages_sent, 6 * kProcesses * kProcesses);
 }
 
-/// Servers, their requests, and who sends them.
+/// Servers under a load of harmless and fatal requests.
 class FatalLoad {
  public:
   static constexpr std::size_t kServers = 4;
   static constexpr std::size_t kSlots = 18;
 
   struct Counts {
-    std::size_t fatal_begun = 0;
+    std::size_t fatal_started = 0;
+    /// Fatal requests that started more than 3 s after the third crash.
     std::size_t fatal_late = 0;
-    std::size_t asked = 0;
-    std::size_t refused_in_vain = 0;
-    std::size_t ends = 0;
+    std::size_t harmless = 0;
+    std::size_t harmless_refused = 0;
+    std::size_t crashes = 0;
   };
 
-  FatalLoad(std::size_t processes, std::uint64_t seed) : spread(processes, seed) {}
+  FatalLoad(std::size_t processes, std::uint64_t seed) : network(processes, seed) {}
 
-  /// @param repeats how often what is lost beside the fatal request is asked again.
-  Counts play(Duration length, int repeats) {
-    repeats_ = repeats;
-    askFatal();
-    askOthers();
-    EXPECT_TRUE(spread.runUntil(kStart + length));
+  /// @param retries how often a harmless request that was lost in a crash is retried.
+  Counts run(Duration length, int retries) {
+    retries_ = retries;
+    scheduleFatal();
+    scheduleHarmless();
+    EXPECT_TRUE(network.runUntil(kStart + length));
     return counts;
   }
 
-  Spread spread;
+  PeerNetwork network;
   Counts counts;
-  /// Requests under which servers end; each time one of them comes, drawn at random, or all of them at once.
+  /// Requests that crash servers. Each time a random one of them is sent, or all at once with `send_together`.
   std::vector<RequestFingerprint> fatal = {kFatal};
-  bool side_by_side = false;
-  /// In these words others ask too, well served: none where zero.
-  RequestFingerprint hot;
+  bool send_together = false;
+  /// Harmless request that makes up a third of the harmless load; zero: none.
+  RequestFingerprint frequent;
 
  private:
   struct Server {
     bool up = true;
-    std::uint64_t life = 1;
+    std::uint64_t instance = 1;
     std::map<std::uint64_t, std::pair<RequestFingerprint, int>> running;
     UnansweredRequests unanswered;
   };
 
-  void askFatal() {
-    spread.at(spread.now + milliseconds(20 + spread.draw(380)), [this] {
+  void scheduleFatal() {
+    network.at(network.now + milliseconds(20 + network.randomBelow(380)), [this] {
       sendFatal();
-      askFatal();
+      scheduleFatal();
     });
   }
 
@@ -150,190 +150,191 @@
   }
 
   void sendFatal() {
-    if (!side_by_side) {
-      send(fatal[spread.draw(fatal.size())], 0);
+    if (!send_together) {
+      send(fatal[network.randomBelow(fatal.size())], 0);
       return;
     }
-    const std::size_t server = spread.draw(kServers);
+    const std::size_t server = network.randomBelow(kServers);
     for (const RequestFingerprint& request : fatal) {
       sendTo(request, 0, server);
     }
   }
 
-  void askOthers() {
-    spread.at(spread.now + milliseconds(3), [this] {
-      const bool is_hot = hot != RequestFingerprint{} && spread.draw(3) == 0;
-      send(is_hot ? hot : RequestFingerprint{2, ++last_}, repeats_);
-      askOthers();
+  void scheduleHarmless() {
+    network.at(network.now + milliseconds(3), [this] {
+      const bool is_frequent = frequent != RequestFingerprint{} && network.randomBelow(3) == 0;
+      send(is_frequent ? frequent : RequestFingerprint{2, ++last_harmless_}, retries_);
+      scheduleHarmless();
     });
   }
 
-  void send(const RequestFingerprint& request, int repeats) { sendTo(request, repeats, spread.draw(kServers)); }
+  void send(const RequestFingerprint& request, int retries) { sendTo(request, retries, network.randomBelow(kServers)); }
 
-  void sendTo(const RequestFingerprint& request, int repeats, std::size_t to) {
+  void sendTo(const RequestFingerprint& request, int retries, std::size_t to) {
     const bool is_fatal = isFatal(request);
-    counts.asked += is_fatal ? 0 : 1;
-    const std::size_t gateway = spread.draw(spread.processes());
+    counts.harmless += is_fatal ? 0 : 1;
+    const std::size_t gateway = network.randomBelow(network.processes());
     Server& server = servers_[to];
-    const bool kept_back =
-        spread.of(gateway).remainingTime(request, spread.now) || spread.of(to).remainingTime(request, spread.now);
-    if (kept_back) {
-      counts.refused_in_vain += is_fatal ? 0 : 1;
+    const bool is_quarantined =
+        network.of(gateway).remainingTime(request, network.now) || network.of(to).remainingTime(request, network.now);
+    if (is_quarantined) {
+      counts.harmless_refused += is_fatal ? 0 : 1;
       return;
     }
     if (!server.up || server.running.size() >= kSlots) {
       return;
     }
     const std::uint64_t number = ++last_send_;
-    server.running[number] = {request, repeats};
+    server.running[number] = {request, retries};
     server.unanswered.onSent(number, request);
-    counts.fatal_begun += is_fatal ? 1 : 0;
-    counts.fatal_late += is_fatal && spread.now > third_end_ + seconds(3) ? 1 : 0;
+    counts.fatal_started += is_fatal ? 1 : 0;
+    counts.fatal_late += is_fatal && network.now > third_crash_at_ + seconds(3) ? 1 : 0;
     const Duration work = is_fatal ? milliseconds(100) : milliseconds(150);
-    spread.at(spread.now + work, [this, to, number, life = server.life] { endWork(to, number, life); });
+    network.at(network.now + work,
+               [this, to, number, instance = server.instance] { finishRequest(to, number, instance); });
   }
 
-  void endWork(std::size_t to, std::uint64_t number, std::uint64_t life) {
+  void finishRequest(std::size_t to, std::uint64_t number, std::uint64_t instance) {
     Server& server = servers_[to];
-    if (server.life != life || !server.up) {
+    if (server.instance != instance || !server.up) {
       return;
     }
     const RequestFingerprint request = server.running.at(number).first;
     if (isFatal(request)) {
-      end(to);
+      crash(to);
       return;
     }
     server.running.erase(number);
-    server.unanswered.onAnswered(number, true, spread.now);
-    spread.tellAll(to, spread.of(to).onServed(request, microsecondsOf(spread.now), spread.now));
+    server.unanswered.onAnswered(number, true, network.now);
+    network.broadcast(to, network.of(to).onServed(request, microsecondsOf(network.now), network.now));
   }
 
-  void end(std::size_t to) {
+  void crash(std::size_t to) {
     Server& server = servers_[to];
     server.up = false;
-    ++counts.ends;
-    if (counts.ends == 3) {
-      third_end_ = spread.now;
+    ++counts.crashes;
+    if (counts.crashes == 3) {
+      third_crash_at_ = network.now;
     }
-    const ServerEndId id{InstanceId("i-" + std::to_string(to)), server.life};
-    spread.tellAll(to, spread.of(to).onLocalCrash(id, server.unanswered.takeOnCrash(), spread.now));
+    const ServerEndId id{InstanceId("i-" + std::to_string(to)), server.instance};
+    network.broadcast(to, network.of(to).onLocalCrash(id, server.unanswered.takeOnCrash(), network.now));
     for (const auto& [number, lost] : server.running) {
       if (!isFatal(lost.first) && lost.second > 0) {
-        spread.at(spread.now + milliseconds(1 + spread.draw(100)),
-                  [this, lost = lost] { send(lost.first, lost.second - 1); });
+        network.at(network.now + milliseconds(1 + network.randomBelow(100)),
+                   [this, lost = lost] { send(lost.first, lost.second - 1); });
       }
     }
     server.running.clear();
-    spread.at(spread.now + seconds(3), [&server] {
+    network.at(network.now + seconds(3), [&server] {
       server.up = true;
-      ++server.life;
+      ++server.instance;
     });
   }
 
   std::array<Server, kServers> servers_;
-  int repeats_ = 0;
-  std::uint64_t last_ = 0;
+  int retries_ = 0;
+  std::uint64_t last_harmless_ = 0;
   std::uint64_t last_send_ = 0;
-  TimePoint third_end_ = TimePoint::max() - seconds(10);
+  TimePoint third_crash_at_ = TimePoint::max() - seconds(10);
 };
 
 constexpr int kSeeds = 40;
 
-// Two ends prove it as soon as they are known; within the 0.1 s that it takes and the 0.06 s that news take, some more
-// may begin. After the third end and 3 s none does.
-TEST(QuarantineSpreadTest, FatalRequestReachesFewServersFromAllMachines) {
-  std::size_t ends = 0;
+// Two crashes are enough once they are known. A few more fatal requests may start while the second one runs and the
+// messages are in flight, but none later than 3 s after the third crash.
+TEST(QuarantineSpreadTest, FatalRequestCrashesFewServers) {
+  std::size_t crashes = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     FatalLoad load(16, seed);
-    const FatalLoad::Counts counts = load.play(seconds(60), 2);
+    const FatalLoad::Counts counts = load.run(seconds(60), 2);
     EXPECT_EQ(counts.fatal_late, 0U) << "seed " << seed;
-    EXPECT_LE(counts.ends, FatalLoad::kServers) << "seed " << seed;
-    ends += counts.ends;
+    EXPECT_LE(counts.crashes, FatalLoad::kServers) << "seed " << seed;
+    crashes += counts.crashes;
   }
-  EXPECT_LE(ends, 3U * kSeeds);
+  EXPECT_LE(crashes, 3U * kSeeds);
 }
 
-// Several of them come in the same seconds: each is found by itself, and costs its own servers.
-TEST(QuarantineSpreadTest, SeveralFatalRequestsCostThreeServersEach) {
-  std::size_t ends = 0;
+// Fatal requests that arrive during the same seconds are identified independently.
+TEST(QuarantineSpreadTest, SeveralFatalRequestsCrashAtMostThreeServersEach) {
+  std::size_t crashes = 0;
   constexpr std::size_t kFatalRequests = 3;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     FatalLoad load(16, seed);
     load.fatal = {kFatal, {1, 2}, {1, 3}};
-    const FatalLoad::Counts counts = load.play(seconds(60), 2);
-    EXPECT_LE(counts.ends, 3 * kFatalRequests) << "seed " << seed;
-    EXPECT_LE(counts.refused_in_vain * 1000, counts.asked) << "seed " << seed;
+    const FatalLoad::Counts counts = load.run(seconds(60), 2);
+    EXPECT_LE(counts.crashes, 3 * kFatalRequests) << "seed " << seed;
+    EXPECT_LE(counts.harmless_refused * 1000, counts.harmless) << "seed " << seed;
     for (const RequestFingerprint& request : load.fatal) {
-      EXPECT_TRUE(load.spread.of(0).remainingTime(request, load.spread.now)) << "seed " << seed;
+      EXPECT_TRUE(load.network.of(0).remainingTime(request, load.network.now)) << "seed " << seed;
     }
-    ends += counts.ends;
+    crashes += counts.crashes;
   }
-  EXPECT_LE(ends, 3 * kFatalRequests * kSeeds);
+  EXPECT_LE(crashes, 3 * kFatalRequests * kSeeds);
 }
 
-// Two that always come together at the same server are kept back after the third end. A server that is full may take
-// but one of them: then the other one is found by itself, and the two cost up to three each.
-TEST(QuarantineSpreadTest, FatalRequestsSideBySideCostThreeServersEachAtMost) {
-  std::size_t ends = 0;
+// Two fatal requests that always arrive together are quarantined after the third crash. If a full server accepts only
+// one of them, each is identified separately and crashes up to three servers.
+TEST(QuarantineSpreadTest, FatalRequestsSentTogetherCrashAtMostThreeServersEach) {
+  std::size_t crashes = 0;
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     FatalLoad load(16, seed);
     load.fatal = {kFatal, {1, 2}};
-    load.side_by_side = true;
-    const FatalLoad::Counts counts = load.play(seconds(60), 2);
-    EXPECT_LE(counts.ends, 6U) << "seed " << seed;
-    EXPECT_LE(counts.refused_in_vain * 1000, counts.asked) << "seed " << seed;
-    ends += counts.ends;
+    load.send_together = true;
+    const FatalLoad::Counts counts = load.run(seconds(60), 2);
+    EXPECT_LE(counts.crashes, 6U) << "seed " << seed;
+    EXPECT_LE(counts.harmless_refused * 1000, counts.harmless) << "seed " << seed;
+    crashes += counts.crashes;
   }
-  EXPECT_LE(ends, FatalLoad::kServers * kSeeds);
+  EXPECT_LE(crashes, FatalLoad::kServers * kSeeds);
 }
 
-// Below one in a thousand of those that did nothing may be refused for it.
-TEST(QuarantineSpreadTest, RequestsThatRanBesideItAreServedOn) {
+// Requests that were running on crashed servers must not be quarantined with the fatal one.
+TEST(QuarantineSpreadTest, AtMostOneInAThousandHarmlessRequestsIsRefused) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     FatalLoad load(16, seed);
-    load.hot = {3, 3};
-    const FatalLoad::Counts counts = load.play(seconds(60), 2);
-    EXPECT_LE(counts.refused_in_vain * 1000, counts.asked) << "seed " << seed;
-    EXPECT_FALSE(load.spread.of(0).remainingTime(load.hot, load.spread.now)) << "seed " << seed;
+    load.frequent = {3, 3};
+    const FatalLoad::Counts counts = load.run(seconds(60), 2);
+    EXPECT_LE(counts.harmless_refused * 1000, counts.harmless) << "seed " << seed;
+    EXPECT_FALSE(load.network.of(0).remainingTime(load.frequent, load.network.now)) << "seed " << seed;
   }
 }
 
-// It hears nothing while it is cut off; then a new stream tells it all, and it sends none.
-TEST(QuarantineSpreadTest, ProcessThatWasCutOffIsToldWhenItIsBack) {
+// A partitioned process receives nothing; after the partition a summary must bring it up to date.
+TEST(QuarantineSpreadTest, PartitionedProcessGetsTheStateWhenReconnected) {
   FatalLoad load(16, 7);
-  load.spread.cut = 9;
-  load.play(seconds(20), 2);
-  ASSERT_FALSE(load.spread.of(9).isActive());
-  load.spread.cut = SIZE_MAX;
-  load.spread.tell(9, load.spread.of(2).summary(load.spread.now));
-  const std::size_t begun = load.counts.fatal_begun;
-  ASSERT_TRUE(load.spread.runUntil(kStart + seconds(21)));
-  EXPECT_TRUE(load.spread.of(9).remainingTime(kFatal, load.spread.now));
-  ASSERT_TRUE(load.spread.runUntil(kStart + seconds(60)));
-  EXPECT_LE(load.counts.fatal_begun, begun + 1);
+  load.network.partitioned = 9;
+  load.run(seconds(20), 2);
+  ASSERT_FALSE(load.network.of(9).isActive());
+  load.network.partitioned = SIZE_MAX;
+  load.network.send(9, load.network.of(2).summary(load.network.now));
+  const std::size_t started = load.counts.fatal_started;
+  ASSERT_TRUE(load.network.runUntil(kStart + seconds(21)));
+  EXPECT_TRUE(load.network.of(9).remainingTime(kFatal, load.network.now));
+  ASSERT_TRUE(load.network.runUntil(kStart + seconds(60)));
+  EXPECT_LE(load.counts.fatal_started, started + 1);
 }
 
-// No telling while servers end for other reasons, at a rate that no deployment knows: a server each second.
-TEST(QuarantineSpreadTest, ServersThatEndForOtherReasonsQuarantineNobodyWhoIsServed) {
+// Crashes that no request caused, once per second, must not quarantine a request that is served in between.
+TEST(QuarantineSpreadTest, CrashesForOtherReasonsQuarantineNoServedRequest) {
   constexpr std::size_t kProcesses = 16;
-  Spread spread(kProcesses, 3);
+  PeerNetwork network(kProcesses, 3);
   UnansweredRequests unanswered;
   std::uint64_t number = 0;
-  const RequestFingerprint hot{3, 3};
-  for (std::uint64_t end = 0; end < 60; ++end) {
+  const RequestFingerprint frequent{3, 3};
+  for (std::uint64_t crash = 0; crash < 60; ++crash) {
     for (int run = 0; run < 20; ++run) {
-      unanswered.onSent(++number, hot);
-      unanswered.onAnswered(number, true, spread.now);
+      unanswered.onSent(++number, frequent);
+      unanswered.onAnswered(number, true, network.now);
     }
-    unanswered.onSent(++number, hot);
+    unanswered.onSent(++number, frequent);
     unanswered.onSent(++number, {2, number});
-    const std::size_t process = spread.draw(kProcesses);
-    const ServerEndId id{InstanceId("i"), end};
-    spread.tellAll(process, spread.of(process).onLocalCrash(id, unanswered.takeOnCrash(), spread.now));
-    ASSERT_TRUE(spread.runUntil(spread.now + seconds(1)));
+    const std::size_t process = network.randomBelow(kProcesses);
+    const ServerEndId id{InstanceId("i"), crash};
+    network.broadcast(process, network.of(process).onLocalCrash(id, unanswered.takeOnCrash(), network.now));
+    ASSERT_TRUE(network.runUntil(network.now + seconds(1)));
   }
   for (std::size_t process = 0; process < kProcesses; ++process) {
-    EXPECT_FALSE(spread.of(process).isActive());
+    EXPECT_FALSE(network.of(process).isActive());
   }
 }
 
--- a/test/core_router/quarantine/unanswered_requests_test.cc
+++ b/test/core_router/quarantine/unanswered_requests_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What a server may have been at work on when it ended.
+/// Which requests a server may have been running when it crashed.
 
 #include "source/core/router/quarantine/unanswered_requests.h"
 
@@ -16,7 +16,7 @@
 
 using Requests = std::vector<RequestFingerprint>;
 
-TEST(UnansweredRequestsTest, HoldsWhatRunsAndWhatBrokeTogether) {
+TEST(UnansweredRequestsTest, RunningAndLostRequestsAreUnanswered) {
   UnansweredRequests unanswered;
   for (std::uint64_t number = 1; number <= 3; ++number) {
     unanswered.onSent(number, request(number));
@@ -27,7 +27,7 @@
   EXPECT_TRUE(unanswered.takeOnCrash().empty());
 }
 
-TEST(UnansweredRequestsTest, ServerThatAnswersOnHasNotEndedByWhatBrokeBefore) {
+TEST(UnansweredRequestsTest, RequestLostBeforeALaterResponseIsNotACause) {
   UnansweredRequests unanswered;
   unanswered.onSent(1, request(1));
   unanswered.onSent(2, request(2));
@@ -36,8 +36,8 @@
   EXPECT_TRUE(unanswered.takeOnCrash().empty());
 }
 
-// The news that a connection broke may be read before an answer that was sent before it.
-TEST(UnansweredRequestsTest, AnswerThatIsReadJustAfterTheBreakProvesNothing) {
+// The loss of a connection may be noticed before a response that was sent earlier is read.
+TEST(UnansweredRequestsTest, ResponseReadJustAfterTheLossDoesNotClearARequest) {
   UnansweredRequests unanswered;
   unanswered.onSent(1, request(1));
   unanswered.onSent(2, request(2));
@@ -46,8 +46,8 @@
   EXPECT_EQ(unanswered.takeOnCrash(), Requests{request(1)});
 }
 
-// It was taken back while it ran; the server answered others meanwhile, and ended by it 0.1 s later.
-TEST(UnansweredRequestsTest, RequestThatWasTakenBackMayRunForAMoment) {
+// A cancelled request may still be running and crash the server after responses to other requests.
+TEST(UnansweredRequestsTest, AbandonedRequestStaysSuspectForItsPossibleRunTime) {
   UnansweredRequests unanswered;
   unanswered.onSent(1, request(1));
   unanswered.onSent(2, request(2));
@@ -62,8 +62,8 @@
   EXPECT_TRUE(unanswered.takeOnCrash().empty());
 }
 
-// One key is asked for in the same words a hundred times a second; the server loses its power.
-TEST(UnansweredRequestsTest, RequestThatTheServerHasRunWellBeforeIsNoCause) {
+// Guards against the quarantine of a frequent harmless request when a server stops for another reason.
+TEST(UnansweredRequestsTest, RequestThatRanWellBeforeIsNotACause) {
   UnansweredRequests unanswered;
   unanswered.onSent(1, request(7));
   unanswered.onAnswered(1, true, kStart);
@@ -72,8 +72,8 @@
   EXPECT_EQ(unanswered.takeOnCrash(), Requests{request(8)});
 }
 
-// Turned away, or given up at its deadline before it could do harm.
-TEST(UnansweredRequestsTest, RequestThatTheServerTurnedAwayOrFailedWasNotRunWell) {
+// A refused or timed-out run does not show that the request is harmless.
+TEST(UnansweredRequestsTest, RequestThatTheServerRefusedOrFailedStaysSuspect) {
   UnansweredRequests unanswered;
   unanswered.onSent(1, request(7));
   unanswered.onAnswered(1, false, kStart);
@@ -81,7 +81,7 @@
   EXPECT_EQ(unanswered.takeOnCrash(), Requests{request(7)});
 }
 
-TEST(UnansweredRequestsTest, RefusedConnectionIsNoSignOfLife) {
+TEST(UnansweredRequestsTest, RefusedConnectionDoesNotClearLostRequests) {
   UnansweredRequests unanswered;
   unanswered.onSent(1, request(1));
   unanswered.onSent(2, request(2));
@@ -90,7 +90,7 @@
   EXPECT_EQ(unanswered.takeOnCrash(), Requests{request(1)});
 }
 
-TEST(UnansweredRequestsTest, NextLifeHasServedNothing) {
+TEST(UnansweredRequestsTest, ServedRequestsAreForgottenForTheNextInstance) {
   UnansweredRequests unanswered;
   unanswered.onSent(1, request(1));
   unanswered.onAnswered(1, true, kStart);
--- a/test/core_router/routing_test.cc
+++ b/test/core_router/routing_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Routes, splits, the retry budget and what follows a reply.
+/// Route lookup, traffic splits, the retry budget and retry decisions.
 
 #include <gtest/gtest.h>
 
@@ -34,7 +34,7 @@
 struct RouteRow {
   const char* host;
   const char* target;
-  /// Empty: no route.
+  /// Expected route; empty if none matches.
   const char* name;
 };
 
@@ -58,7 +58,7 @@
   }
 }
 
-TEST(TrafficSplitterTest, MeetsWeightsInShortSamples) {
+TEST(TrafficSplitterTest, MatchesWeightsInShortSamples) {
   Route split = route("r", "h", "/");
   split.shares = {{ServiceName("big"), 90}, {ServiceName("small"), 10}};
   for (std::size_t offset = 0; offset < 20; ++offset) {
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(TrafficSplitterTest, NewWeightsBeginANewRound) {
+TEST(TrafficSplitterTest, ChangedWeightsStartANewRound) {
   Route split = route("r", "h", "/");
   split.shares = {{ServiceName("a"), 1}, {ServiceName("b"), 1}};
   TrafficSplitter picker(0);
@@ -83,7 +83,7 @@
   }
 }
 
-TEST(SharedRetryBudgetTest, NeverSpendsMoreThanItsPartAndTheRatio) {
+TEST(SharedRetryBudgetTest, SpendsAtMostItsPartOfTheSlackAndTheRatio) {
   const ServiceName service("s");
   SharedRetryBudget budget({0.1, 32.0});
   budget.setProcessCount(16);
@@ -101,7 +101,7 @@
   EXPECT_GE(spent, kRequests / 10 - 1);
 }
 
-TEST(SharedRetryBudgetTest, ServicesDontShare) {
+TEST(SharedRetryBudgetTest, EachServiceHasItsOwnBudget) {
   SharedRetryBudget budget({0.0, 1.0});
   EXPECT_TRUE(budget.trySpend(ServiceName("a")));
   EXPECT_FALSE(budget.trySpend(ServiceName("a")));
@@ -121,29 +121,30 @@
   RetryDecision step;
 };
 
-TEST(RetryPolicyTest, DecidesByProofKindAndTime) {
+TEST(RetryPolicyTest, DecidesByOutcomeRouteKindAndRemainingTime) {
   using enum RouteKind;
   using enum ForwardReason;
   using Out = ForwardOutcome;
   using Step = RetryDecision;
-  const Duration plenty = milliseconds(900);
-  const Duration little = milliseconds(10);
+  const Duration enough_time = milliseconds(900);
+  const Duration too_little_time = milliseconds(10);
   const std::vector<PolicyRow> rows = {
-      {"success", Idempotent, false, 1, plenty, Out::Answered, None, true, 200, Step::Answer},
-      {"once-only failure", OnceOnly, false, 1, plenty, Out::Answered, None, true, 500, Step::Answer},
-      {"idempotent failure", Idempotent, false, 1, plenty, Out::Answered, None, true, 500, Step::TryAnother},
-      {"failure, servers used up", Idempotent, false, 2, plenty, Out::Answered, None, true, 500, Step::Answer},
-      {"failure, too late", Idempotent, false, 1, little, Out::Answered, None, true, 500, Step::Answer},
-      {"full", OnceOnly, false, 0, plenty, Out::NotRun, Overloaded, false, 0, Step::TryAnother},
-      {"owner full", Idempotent, true, 0, plenty, Out::NotRun, Overloaded, false, 0, Step::Refuse},
-      {"owner moved", OnceOnly, true, 0, plenty, Out::NotRun, NotOwner, false, 0, Step::AwaitOwner},
-      {"owner down", OnceOnly, true, 0, plenty, Out::NotRun, ServerDown, false, 0, Step::AwaitOwner},
-      {"refused by the server", OnceOnly, false, 1, plenty, Out::NotRun, ServerRefused, true, 0, Step::TryAnother},
-      {"refused, servers used up", OnceOnly, false, 2, plenty, Out::NotRun, ServerRefused, true, 0, Step::Refuse},
-      {"unknown, once-only", OnceOnly, false, 1, plenty, Out::Unknown, ConnectionLost, true, 0, Step::Fail},
-      {"unknown, idempotent", Idempotent, false, 1, plenty, Out::Unknown, ConnectionLost, true, 0, Step::TryAnother},
-      {"unknown, download", Download, false, 1, plenty, Out::Unknown, BrokenAnswer, true, 0, Step::TryAnother},
-      {"unknown, too late", Idempotent, false, 1, little, Out::Unknown, TimedOut, true, 0, Step::Fail}};
+      {"success", Idempotent, false, 1, enough_time, Out::Answered, None, true, 200, Step::Answer},
+      {"once-only failure", OnceOnly, false, 1, enough_time, Out::Answered, None, true, 500, Step::Answer},
+      {"idempotent failure", Idempotent, false, 1, enough_time, Out::Answered, None, true, 500, Step::TryAnother},
+      {"failure, servers used up", Idempotent, false, 2, enough_time, Out::Answered, None, true, 500, Step::Answer},
+      {"failure, too late", Idempotent, false, 1, too_little_time, Out::Answered, None, true, 500, Step::Answer},
+      {"full", OnceOnly, false, 0, enough_time, Out::NotRun, Overloaded, false, 0, Step::TryAnother},
+      {"owner full", Idempotent, true, 0, enough_time, Out::NotRun, Overloaded, false, 0, Step::Refuse},
+      {"owner moved", OnceOnly, true, 0, enough_time, Out::NotRun, NotOwner, false, 0, Step::AwaitOwner},
+      {"owner down", OnceOnly, true, 0, enough_time, Out::NotRun, ServerDown, false, 0, Step::AwaitOwner},
+      {"refused by the server", OnceOnly, false, 1, enough_time, Out::NotRun, ServerRefused, true, 0, Step::TryAnother},
+      {"refused, servers used up", OnceOnly, false, 2, enough_time, Out::NotRun, ServerRefused, true, 0, Step::Refuse},
+      {"unknown, once-only", OnceOnly, false, 1, enough_time, Out::Unknown, ConnectionLost, true, 0, Step::Fail},
+      {"unknown, idempotent", Idempotent, false, 1, enough_time, Out::Unknown, ConnectionLost, true, 0,
+       Step::TryAnother},
+      {"unknown, download", Download, false, 1, enough_time, Out::Unknown, BrokenAnswer, true, 0, Step::TryAnother},
+      {"unknown, too late", Idempotent, false, 1, too_little_time, Out::Unknown, TimedOut, true, 0, Step::Fail}};
   for (const PolicyRow& row : rows) {
     SharedRetryBudget budget({0.1, 10.0});
     RetryPolicy policy(budget);
@@ -159,8 +160,8 @@
   }
 }
 
-// The gate holds a request for a key on its way for as long as it can be served in time: what it gives back can't be.
-TEST(RetryPolicyTest, RequestThatTheGateGaveBackWaitsNoFurtherUnlessAnotherOwnerIsKnown) {
+// The gate holds a request for a key in transfer as long as it can be served in time; a returned request cannot.
+TEST(RetryPolicyTest, RequestReturnedByTheGateIsRefusedUnlessAnotherOwnerIsKnown) {
   SharedRetryBudget budget({0.1, 100});
   RetryPolicy policy(budget);
   Route route;
@@ -173,7 +174,7 @@
   EXPECT_EQ(policy.decide(attempt, reply), RetryDecision::AwaitOwner);
 }
 
-TEST(RetryPolicyTest, WithoutBudgetNothingThatReachedAServerIsRepeated) {
+TEST(RetryPolicyTest, WithoutBudgetNoRequestThatReachedAServerIsRetried) {
   SharedRetryBudget budget({0.0, 1.0});
   while (budget.trySpend(ServiceName("s"))) {
   }
--- a/test/core_router/service_times_test.cc
+++ b/test/core_router/service_times_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Expected times of requests by route.
+/// Expected durations by key.
 
 #include "source/core/router/service_times.h"
 
@@ -10,7 +10,7 @@
 
 using std::chrono::milliseconds;
 
-TEST(DurationEstimatorTest, LearnsEachRouteByItself) {
+TEST(DurationEstimatorTest, EstimatesEachKeySeparately) {
   DurationEstimator times;
   EXPECT_EQ(times.expected("short", milliseconds(70)), milliseconds(70));
   for (int i = 0; i < 200; ++i) {
@@ -24,7 +24,7 @@
   EXPECT_LT(times.expected("long", {}), milliseconds(320));
 }
 
-TEST(DurationEstimatorTest, FollowsAServerThatTurnsSlow) {
+TEST(DurationEstimatorTest, FollowsAChangeOfTheDurations) {
   DurationEstimator times;
   for (int i = 0; i < 50; ++i) {
     times.record("r", milliseconds(50));
--- a/test/core_router/slot_queue_test.cc
+++ b/test/core_router/slot_queue_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Slots, order and refusal by predicted wait.
+/// Slots, order of the queue and refusal by predicted wait.
 
 #include "source/core/router/slot_queue.h"
 
@@ -18,7 +18,7 @@
   return {priority, 0, target, deadline};
 }
 
-TEST(SlotQueueTest, StartsUpToItsSlotsThenWaits) {
+TEST(SlotQueueTest, StartsRequestsUpToTheSlotsThenQueuesThem) {
   SlotQueue queue(2);
   EXPECT_EQ(queue.admit(1, rank(0), kNow, milliseconds(500)).verdict, QueueVerdict::Start);
   EXPECT_EQ(queue.admit(2, rank(0), kNow, milliseconds(500)).verdict, QueueVerdict::Start);
@@ -28,7 +28,7 @@
   EXPECT_EQ(queue.startNext(kNow), 3U);
 }
 
-TEST(SlotQueueTest, MoreUrgentGoFirstThenEarlier) {
+TEST(SlotQueueTest, HigherPriorityStartsFirstThenEarlierArrival) {
   SlotQueue queue(1);
   queue.admit(1, rank(0), kNow, milliseconds(5000));
   queue.admit(2, rank(2), kNow, milliseconds(5000));
@@ -42,7 +42,7 @@
   EXPECT_EQ(order, (std::vector<QueueTicket>{3, 4, 2}));
 }
 
-TEST(SlotQueueTest, OfLikePriorityTheOneWithTheShorterObjectiveGoesFirst) {
+TEST(SlotQueueTest, AtEqualPriorityTheShorterObjectiveStartsFirst) {
   SlotQueue queue(1);
   queue.admit(1, rank(1), kNow, milliseconds(5000));
   queue.admit(2, rank(1, milliseconds(800), kDeadline + milliseconds(500)), kNow, milliseconds(5000));
@@ -51,8 +51,8 @@
   EXPECT_EQ(queue.startNext(kNow), 3U);
 }
 
-// Who has waited long would be answered late, and takes as long as one that would be in time.
-TEST(SlotQueueTest, OfLikeObjectiveTheOneWithMoreTimeLeftGoesFirst) {
+// A request close to its deadline would probably finish late and take a slot from one that can still finish in time.
+TEST(SlotQueueTest, AtEqualObjectiveTheLaterDeadlineStartsFirst) {
   SlotQueue queue(1);
   queue.admit(1, rank(1), kNow, milliseconds(5000));
   queue.admit(2, rank(1), kNow, milliseconds(5000));
@@ -61,7 +61,7 @@
   EXPECT_EQ(queue.startNext(kNow), 3U);
 }
 
-TEST(SlotQueueTest, RefusesAtOnceWhatWouldWaitTooLong) {
+TEST(SlotQueueTest, RequestThatWouldWaitTooLongIsRefusedAtOnce) {
   SlotQueue queue(1);
   queue.admit(1, rank(0), kNow, milliseconds(100));
   const QueueDecision decision = queue.admit(2, rank(0), kNow, milliseconds(99));
@@ -70,7 +70,7 @@
   EXPECT_EQ(queue.admit(3, rank(0), kNow, milliseconds(100)).verdict, QueueVerdict::Wait);
 }
 
-TEST(SlotQueueTest, GivesBackWhatHasWaitedTooLong) {
+TEST(SlotQueueTest, RequestThatHasWaitedTooLongIsRemoved) {
   SlotQueue queue(1);
   queue.admit(1, rank(0), kNow, milliseconds(100));
   queue.admit(2, rank(0), kNow, milliseconds(150));
@@ -80,8 +80,8 @@
   EXPECT_EQ(queue.load().queued, 1U);
 }
 
-// The mean time is 100 ms: the request of lower rank could begin after 200 ms, until others came that go first.
-TEST(SlotQueueTest, GivesBackAtOnceWhatOthersHaveOvertakenTooFar) {
+// With a mean service time of 100 ms, request 2 could start in time until requests of a higher rank arrive.
+TEST(SlotQueueTest, RequestDelayedTooLongByLaterArrivalsIsRemovedAtOnce) {
   SlotQueue queue(1);
   queue.admit(1, rank(0), kNow, milliseconds(100));
   queue.admit(2, rank(5), kNow, milliseconds(250));
@@ -93,12 +93,12 @@
   EXPECT_EQ(queue.load().queued, 2U);
 }
 
-TEST(SlotQueueTest, WithoutSlotsEverythingIsRefused) {
+TEST(SlotQueueTest, WithoutSlotsEveryRequestIsRefused) {
   SlotQueue queue(0);
   EXPECT_EQ(queue.admit(1, rank(0), kNow, std::chrono::hours(1)).verdict, QueueVerdict::Refuse);
 }
 
-RC_GTEST_PROP(SlotQueueProperty, NeverRunsMoreThanItsSlotsAndLosesNone, (const std::vector<std::uint8_t>& steps)) {
+RC_GTEST_PROP(SlotQueueProperty, NeverExceedsItsSlotsAndLosesNoRequest, (const std::vector<std::uint8_t>& steps)) {
   constexpr std::uint32_t kSlots = 3;
   SlotQueue queue(kSlots);
   std::uint32_t running = 0;
--- a/test/core_router/start_rate_test.cc
+++ b/test/core_router/start_rate_test.cc
@@ -1,10 +1,6 @@
 /// @file
-/// Cold servers bear a rate, not as many requests as they have slots.
-///
-/// The load: all servers of a zone come back cold at once while the service's requests go on, or one turns cold amid
-/// its work. Seen on a deployment with 71 servers, each of which bears 13 requests a second while it is cold and has 18
-/// slots: with slots alone as the limit one got 33 in one second, and 64 times on one day more than the 27 that it
-/// bears.
+/// Start rate limit of cold servers. Guards against overload of a cold server, which can handle fewer requests per
+/// second than its slots would admit, after a restart or when it becomes cold under load.
 
 #include "source/core/router/start_rate.h"
 
@@ -28,7 +24,7 @@
 constexpr std::uint32_t kSlots = 18;
 constexpr Duration kTick = milliseconds(25);
 
-TEST(StartRateLimiterTest, WithoutALimitAllStart) {
+TEST(StartRateLimiterTest, WithoutALimitEveryRequestStartsAtOnce) {
   StartRateLimiter rate;
   for (int i = 0; i < 1000; ++i) {
     EXPECT_EQ(rate.timeUntilNextStart(kStart), Duration::zero());
@@ -46,7 +42,7 @@
   EXPECT_EQ(rate.timeUntilNextStart(kStart + milliseconds(1100)), Duration::zero());
 }
 
-TEST(StartRateLimiterTest, TellsTheWaitOfThoseFurtherBehind) {
+TEST(StartRateLimiterTest, WaitGrowsWithTheNumberOfRequestsAhead) {
   StartRateLimiter rate;
   rate.setLimit(2);
   EXPECT_EQ(rate.timeUntilStartBehind(1, kStart), Duration::zero());
@@ -60,7 +56,7 @@
   EXPECT_EQ(rate.timeUntilStartBehind(2, kStart + milliseconds(500)), milliseconds(1700));
 }
 
-TEST(StartRateLimiterTest, AnEarlierProcessMayHaveUsedItUp) {
+TEST(StartRateLimiterTest, ExhaustedWindowDelaysTheNextStart) {
   StartRateLimiter rate;
   rate.setLimit(kColdRate);
   rate.assumeExhausted(kStart);
@@ -68,24 +64,24 @@
   EXPECT_EQ(rate.timeUntilNextStart(kStart + seconds(2)), Duration::zero());
 }
 
-/// One server's queue under a load that it can't bear while it is cold.
+/// Queue of one server under a load that exceeds its capacity while it is cold.
 class ColdServerLoad {
  public:
-  /// @param cold_at, cold_until when the server is cold.
+  /// @param cold_at, cold_until period in which the server is cold, relative to the start.
   ColdServerLoad(std::uint64_t seed, Duration cold_at, Duration cold_until)
       : random_(seed), cold_at_(kStart + cold_at), cold_until_(kStart + cold_until) {}
 
-  void play(Duration length, int requests_per_second) {
+  void run(Duration length, int requests_per_second) {
     const double chance = requests_per_second * std::chrono::duration<double>(milliseconds(1)).count();
     for (TimePoint now = kStart; now < kStart + length; now += milliseconds(1)) {
       queue_.setStartLimit(isCold(now) ? std::optional(kColdRate) : std::nullopt);
-      endWork(now);
+      finishRequests(now);
       if (std::bernoulli_distribution(chance)(random_)) {
         arrive(now);
       }
-      const bool ticks = (now - kStart) % kTick == Duration::zero();
-      if (ticks) {
-        noteLate(now);
+      const bool is_tick = (now - kStart) % kTick == Duration::zero();
+      if (is_tick) {
+        dropOverdue(now);
       }
       while (queue_.startNext(now)) {
         start(now);
@@ -93,8 +89,8 @@
     }
   }
 
-  /// @return most starts in any second in which the server is cold.
-  std::size_t mostInAColdSecond() const {
+  /// @return maximum number of starts in any second that begins while the server is cold.
+  std::size_t maxStartsInAColdSecond() const {
     std::size_t most = 0;
     for (std::size_t first = 0; first < starts.size(); ++first) {
       std::size_t last = first;
@@ -112,39 +108,39 @@
 
   std::vector<TimePoint> starts;
   std::size_t refused_at_once = 0;
-  /// Of those that could not be served in time after all.
-  Duration longest_wait_in_vain = Duration::zero();
+  /// Longest wait of the requests that were removed as overdue.
+  Duration longest_wait_of_overdue = Duration::zero();
 
-  static constexpr Duration kWork = milliseconds(260);
-  static constexpr Duration kObjective = seconds(1);
-  static constexpr Duration kLongestWait = kObjective - kWork;
+  static constexpr Duration kServiceTime = milliseconds(260);
+  static constexpr Duration kTargetLatency = seconds(1);
+  static constexpr Duration kMaxWait = kTargetLatency - kServiceTime;
 
  private:
   void arrive(TimePoint now) {
-    const QueueRank rank{1, 0, kObjective, now + seconds(6)};
+    const QueueRank rank{1, 0, kTargetLatency, now + seconds(6)};
     arrived_[++ticket_] = now;
-    const QueueDecision decision = queue_.admit(ticket_, rank, now, kLongestWait);
+    const QueueDecision decision = queue_.admit(ticket_, rank, now, kMaxWait);
     if (decision.verdict == QueueVerdict::Start) {
       start(now);
     }
     refused_at_once += decision.verdict == QueueVerdict::Refuse ? 1 : 0;
   }
 
-  void noteLate(TimePoint now) {
+  void dropOverdue(TimePoint now) {
     for (const QueueTicket ticket : queue_.removeOverdue(now)) {
-      longest_wait_in_vain = std::max(longest_wait_in_vain, now - arrived_.at(ticket));
+      longest_wait_of_overdue = std::max(longest_wait_of_overdue, now - arrived_.at(ticket));
     }
   }
 
   void start(TimePoint now) {
     starts.push_back(now);
-    ends_.push_back(now + kWork);
+    ends_.push_back(now + kServiceTime);
   }
 
-  void endWork(TimePoint now) {
+  void finishRequests(TimePoint now) {
     while (!ends_.empty() && ends_.front() <= now) {
       ends_.pop_front();
-      queue_.onRequestEnded(kWork);
+      queue_.onRequestEnded(kServiceTime);
     }
   }
 
@@ -159,33 +155,33 @@
 
 constexpr std::uint64_t kSeeds = 20;
 
-TEST(ColdServerLoadTest, ServerThatComesBackColdGetsWhatItBears) {
+TEST(ColdServerLoadTest, RestartedServerGetsAtMostTheColdRate) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     ColdServerLoad load(seed, Duration::zero(), seconds(3));
-    load.play(seconds(3), 60);
-    EXPECT_LE(load.mostInAColdSecond(), static_cast<std::size_t>(kColdRate));
-    // The rate is used: a server that bears 13 a second is not left idle.
+    load.run(seconds(3), 60);
+    EXPECT_LE(load.maxStartsInAColdSecond(), static_cast<std::size_t>(kColdRate));
+    // The server must not stay idle either.
     EXPECT_GE(load.starts.size(), 2 * static_cast<std::size_t>(kColdRate));
   }
 }
 
-// In the second before nobody knew: what had begun then counts.
-TEST(ColdServerLoadTest, ServerThatTurnsColdAmidItsWorkGetsNoMoreThanItHad) {
+// Starts in the second before the server became cold count as well.
+TEST(ColdServerLoadTest, ServerThatBecomesColdUnderLoadGetsAtMostTheColdRate) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     ColdServerLoad load(seed, seconds(2), seconds(5));
-    load.play(seconds(5), 60);
-    EXPECT_LE(load.mostInAColdSecond(), static_cast<std::size_t>(kColdRate));
+    load.run(seconds(5), 60);
+    EXPECT_LE(load.maxStartsInAColdSecond(), static_cast<std::size_t>(kColdRate));
   }
 }
 
-// Nobody is kept for longer than it can still be served in time; more requests come than the server bears, so that some
-// are refused the moment they come.
-TEST(ColdServerLoadTest, NobodyIsKeptWhoCantBeServedInTime) {
+// A request must not stay in the queue longer than it can still be served in time. The load exceeds the server's
+// capacity, so some requests are refused on arrival.
+TEST(ColdServerLoadTest, RequestsThatCannotBeServedInTimeAreRemovedPromptly) {
   for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
     ColdServerLoad load(seed, Duration::zero(), seconds(3));
-    load.play(seconds(3), 60);
+    load.run(seconds(3), 60);
     EXPECT_GT(load.refused_at_once, 0U);
-    EXPECT_LE(load.longest_wait_in_vain, ColdServerLoad::kLongestWait + kTick);
+    EXPECT_LE(load.longest_wait_of_overdue, ColdServerLoad::kMaxWait + kTick);
   }
 }
 
