--- a/source/core/router/quarantine/crash_quarantine.cc
+++ b/source/core/router/quarantine/crash_quarantine.cc
@@ -300,9 +300,10 @@
     std::copy_if(
         suspect.crashes.begin(), suspect.crashes.end(), std::back_inserter(entry.crashes),
         [this, &suspect = suspect](const ServerCrashId& id) { return crashes_.at(id).at > suspect.served_at; });
-    std::sort(entry.crashes.begin(), entry.crashes.end(), [this](const ServerCrashId& left, const ServerCrashId& right) {
-      return crashes_.at(left).at < crashes_.at(right).at;
-    });
+    std::sort(entry.crashes.begin(), entry.crashes.end(),
+              [this](const ServerCrashId& left, const ServerCrashId& right) {
+                return crashes_.at(left).at < crashes_.at(right).at;
+              });
   }
   std::sort(entries.begin(), entries.end(),
             [](const auto& left, const auto& right) { return left.request < right.request; });
--- a/source/interface/header_rules.h
+++ b/source/interface/header_rules.h
@@ -22,7 +22,8 @@
 HeaderLookup lookUpHeader(const std::vector<HttpHeader>& headers, std::string_view name);
 
 /// Removes headers that must not reach the server: hop-by-hop headers, `Authorization`, `Host` and the product's own
-/// headers. Headers that only the router may set are replaced by `ServerProtocol::setRouterHeaders`, so clients cannot forge them.
+/// headers. Headers that only the router may set are replaced by `ServerProtocol::setRouterHeaders`, so clients cannot
+/// forge them.
 void filterRequestHeaders(std::vector<HttpHeader>& headers);
 
 /// Removes headers that must not reach the client: hop-by-hop headers and all that begin with `Shedlever-`, so servers
--- a/test/core_router/quarantine/crash_quarantine_test.cc
+++ b/test/core_router/quarantine/crash_quarantine_test.cc
@@ -204,7 +204,8 @@
       }
     }
     // Crashes come first, because every process sends them before the served requests that clear them.
-    std::stable_partition(messages.begin(), messages.end(), [](const auto& message) { return !message.crashes.empty(); });
+    std::stable_partition(messages.begin(), messages.end(),
+                          [](const auto& message) { return !message.crashes.empty(); });
     const auto with_crashes =
         std::count_if(messages.begin(), messages.end(), [](const auto& message) { return !message.crashes.empty(); });
     std::vector<std::vector<RequestFingerprint>> results;
