--- a/source/core/router/balance_planner.cc
+++ b/source/core/router/balance_planner.cc
@@ -8,79 +8,79 @@
 
 namespace {
 
-/// Moves begun at once: each costs its keys a moment without service, and the table a range.
+/// Each move makes its keys unavailable for a moment and can add a range to the table.
 constexpr std::size_t kMaxMovesPerPlan = 4;
-/// Slots' worth of work below which a server is not given any.
+/// A server whose share of the excess is smaller than this number of slots gets nothing.
 constexpr double kMinShareSlots = 0.4;
-/// Against division by nothing, before a request has been timed.
+/// Avoids a division by zero before a request has been timed.
 constexpr double kMinServiceSeconds = 1e-6;
-/// A move may bring this much more work than wanted.
+/// Largest accepted ratio of a move's request rate to the wanted rate.
 constexpr double kMaxRateFactor = 1.4;
-/// A whole range is moved rather than cut if it brings at least so much of the work wanted.
+/// Smallest ratio of a whole range's request rate to the wanted rate for which the range is moved without cutting it.
 constexpr double kWholeRangeShare = 0.7;
 
-/// What one server is to be given.
+/// Part of the excess that one server is to take.
 struct LoadShare {
-  OwnerLocation place;
-  /// Requests a second.
+  OwnerLocation location;
+  /// Requests per second.
   double rate = 0;
 };
 
-double meanUtilization(const BalanceInput& view) {
-  double demand = view.own_load.demand;
-  double slots = view.own_load.slots;
-  for (const BalanceTarget& target : view.targets) {
+double meanUtilization(const BalanceInput& input) {
+  double demand = input.own_load.demand;
+  double slots = input.own_load.slots;
+  for (const BalanceTarget& target : input.targets) {
     demand += target.load.demand;
     slots += target.load.slots;
   }
   return slots > 0 ? demand / slots : 0;
 }
 
-/// @return parts of this owner's excess for those below the average, the largest first.
-std::vector<LoadShare> loadShares(const BalanceInput& view, double average) {
-  double all_excess = view.own_load.demand - average * view.own_load.slots;
-  double all_room = 0;
-  for (const BalanceTarget& target : view.targets) {
+/// @return the shares of this owner's excess for the servers below the average, largest first.
+std::vector<LoadShare> loadShares(const BalanceInput& input, double average) {
+  double total_excess = input.own_load.demand - average * input.own_load.slots;
+  double total_room = 0;
+  for (const BalanceTarget& target : input.targets) {
     const double above = target.load.demand - average * target.load.slots;
-    all_excess += std::max(above, 0.0);
-    all_room += std::max(-above, 0.0);
+    total_excess += std::max(above, 0.0);
+    total_room += std::max(-above, 0.0);
   }
-  const double excess = view.own_load.demand - average * view.own_load.slots;
-  std::vector<LoadShare> parts;
-  for (const BalanceTarget& target : view.targets) {
+  const double excess = input.own_load.demand - average * input.own_load.slots;
+  std::vector<LoadShare> shares;
+  for (const BalanceTarget& target : input.targets) {
     const double room = average * target.load.slots - target.load.demand;
-    const double part = all_room > 0 ? excess * room / std::max(all_room, all_excess) : 0;
-    if (room > 0 && part >= kMinShareSlots) {
-      const double seconds = std::max(view.own_load.service_seconds, target.load.service_seconds);
-      parts.push_back({target.place, part / std::max(seconds, kMinServiceSeconds)});
+    const double share = total_room > 0 ? excess * room / std::max(total_room, total_excess) : 0;
+    if (room > 0 && share >= kMinShareSlots) {
+      const double seconds = std::max(input.own_load.service_seconds, target.load.service_seconds);
+      shares.push_back({target.location, share / std::max(seconds, kMinServiceSeconds)});
     }
   }
-  std::sort(parts.begin(), parts.end(),
+  std::sort(shares.begin(), shares.end(),
             [](const LoadShare& left, const LoadShare& right) { return left.rate > right.rate; });
-  if (parts.size() > kMaxMovesPerPlan) {
-    parts.resize(kMaxMovesPerPlan);
+  if (shares.size() > kMaxMovesPerPlan) {
+    shares.resize(kMaxMovesPerPlan);
   }
-  return parts;
+  return shares;
 }
 
-/// The keys that an owner still has while it plans one move after the other.
+/// Keys that the owner still has while its moves are planned one after the other.
 class RemainingKeys {
  public:
   RemainingKeys(const KeyMeter& meter, const std::vector<OwnedRange>& owned, TimePoint now) : meter_(meter), now_(now) {
     for (const OwnedRange& range : owned) {
-      spans_.push_back(range.keys);
+      remaining_.push_back(range.keys);
     }
   }
 
-  /// @return keys that bring about that many requests a second, taken out: a whole range where one fits, else the end
-  /// of
-  ///   one; none when no part of a range fits.
+  /// Removes keys with about the wanted request rate: a whole range if one fits, else the end of a range.
+  /// @param rate wanted requests per second.
+  /// @return the removed keys; none if no part of a range fits.
   std::optional<KeyRange> take(double rate) {
     std::optional<Choice> best;
-    for (std::size_t i = 0; i < spans_.size() && spans_.size() > 1; ++i) {
-      const double whole = meter_.rate(spans_[i], now_);
+    for (std::size_t i = 0; i < remaining_.size() && remaining_.size() > 1; ++i) {
+      const double whole = meter_.rate(remaining_[i], now_);
       if (whole >= rate * kWholeRangeShare && whole <= rate * kMaxRateFactor) {
-        consider(best, {i, spans_[i], std::abs(whole - rate)});
+        consider(best, {i, remaining_[i], std::abs(whole - rate)});
       }
     }
     if (!best) {
@@ -96,7 +96,7 @@
   struct Choice {
     std::size_t index = 0;
     KeyRange keys;
-    /// How far its requests a second are from those wanted.
+    /// Difference between its request rate and the wanted rate.
     double distance = 0;
   };
 
@@ -108,42 +108,42 @@
 
   void considerEnds(std::optional<Choice>& best, double rate) const {
     const double wanted = rate * meter_.windowSeconds(now_);
-    for (std::size_t i = 0; i < spans_.size(); ++i) {
-      if (const auto keys = meter_.cutFromEnd(spans_[i], wanted, wanted * kMaxRateFactor, now_)) {
+    for (std::size_t i = 0; i < remaining_.size(); ++i) {
+      if (const auto keys = meter_.cutFromEnd(remaining_[i], wanted, wanted * kMaxRateFactor, now_)) {
         consider(best, {i, *keys, std::abs(meter_.rate(*keys, now_) - rate)});
       }
     }
   }
 
   void remove(std::size_t index, const KeyRange& keys) {
-    const KeyRange whole = spans_[index];
+    const KeyRange whole = remaining_[index];
     if (keys == whole) {
-      spans_.erase(spans_.begin() + static_cast<std::ptrdiff_t>(index));
+      remaining_.erase(remaining_.begin() + static_cast<std::ptrdiff_t>(index));
     } else if (keys.first == whole.first) {
-      spans_[index].first = static_cast<Key>(keys.last + 1);
+      remaining_[index].first = static_cast<Key>(keys.last + 1);
     } else {
-      spans_[index].last = static_cast<Key>(keys.first - 1);
+      remaining_[index].last = static_cast<Key>(keys.first - 1);
     }
   }
 
   const KeyMeter& meter_;
   TimePoint now_;
-  std::vector<KeyRange> spans_;
+  std::vector<KeyRange> remaining_;
 };
 
 }  // namespace
 
-std::vector<PlannedMove> BalancePlanner::plan(const BalanceInput& view, TimePoint now) const {
+std::vector<PlannedMove> BalancePlanner::plan(const BalanceInput& input, TimePoint now) const {
   std::vector<PlannedMove> moves;
-  const double average = meanUtilization(view);
-  const double above = view.own_load.utilization() - average;
-  if (view.targets.empty() || view.own_load.utilization() < config_.busy_occupancy || above < config_.occupancy_gap) {
+  const double average = meanUtilization(input);
+  const double above = input.own_load.utilization() - average;
+  if (input.targets.empty() || input.own_load.utilization() < config_.busy_occupancy || above < config_.occupancy_gap) {
     return moves;
   }
-  RemainingKeys remaining(meter_, view.owned, now);
-  for (const LoadShare& part : loadShares(view, average)) {
-    if (const auto keys = remaining.take(part.rate)) {
-      moves.push_back({*keys, part.place});
+  RemainingKeys remaining(meter_, input.owned, now);
+  for (const LoadShare& share : loadShares(input, average)) {
+    if (const auto keys = remaining.take(share.rate)) {
+      moves.push_back({*keys, share.location});
     }
   }
   return moves;
--- a/source/core/router/balance_planner.h
+++ b/source/core/router/balance_planner.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Which keys a busy owner gives to which others. All owners work from the same figures, what is asked of each server
-/// and how much it can take, so that together they even the load out in one step without giving too much.
+/// Plans which keys an overloaded owner moves to which servers. All owners plan from the same reported load and
+/// capacity, so that their moves together even out the load in one step without overloading a server.
 
 #include <vector>
 
@@ -12,12 +12,12 @@
 
 namespace shedlever {
 
-/// Work that is asked of one server.
+/// Load that is offered to one server.
 struct OfferedLoad {
-  /// Slots that all requests for its keys would keep busy; more than it has while some are refused.
+  /// Slots that all requests for its keys would occupy; exceeds `slots` while requests are refused.
   double demand = 0;
   double slots = 0;
-  /// Time that one request runs there, in seconds: a slow server's is longer.
+  /// Mean service time of a request, in seconds; higher on a slow server.
   double service_seconds = 0;
 
   double utilization() const { return slots > 0 ? demand / slots : 0; }
@@ -25,19 +25,19 @@
 
 /// A server that could take keys.
 struct BalanceTarget {
-  OwnerLocation place;
+  OwnerLocation location;
   OfferedLoad load;
 };
 
-/// What the owner sees when it decides.
+/// Input of one planning step.
 struct BalanceInput {
   std::vector<OwnedRange> owned;
   OfferedLoad own_load;
-  /// Others of the service that take requests.
+  /// The other servers of the service that accept requests.
   std::vector<BalanceTarget> targets;
 };
 
-/// Keys for one server.
+/// Keys to be moved to one server.
 struct PlannedMove {
   KeyRange keys;
   OwnerLocation to;
@@ -45,12 +45,12 @@
 
 class BalancePlanner {
  public:
-  /// @param meter, config outlive the planner.
+  /// @param meter, config must outlive the planner.
   BalancePlanner(const KeyMeter& meter, const OwnershipConfig& config) : meter_(meter), config_(config) {}
 
-  /// @return the moves that bring this owner down to what all have on average, each server below the average taking its
-  ///   part; none while the load is even enough, or there is room.
-  std::vector<PlannedMove> plan(const BalanceInput& view, TimePoint now) const;
+  /// @return the moves that reduce this owner's load to the average of all servers, with each server below the average
+  ///   taking its share. Empty if this owner is not busy or is not far enough above the average.
+  std::vector<PlannedMove> plan(const BalanceInput& input, TimePoint now) const;
 
  private:
   const KeyMeter& meter_;
--- a/source/core/router/config_in_force.cc
+++ b/source/core/router/config_in_force.cc
@@ -66,15 +66,15 @@
     onListComplete();
     return;
   }
-  ObjectsByName told;
+  ObjectsByName peer_parts;
   for (const ObjectCopy& part : parts) {
-    told[part.name] = {part.name, part.revision, part.value};
+    peer_parts[part.name] = {part.name, part.revision, part.value};
   }
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
-        BOOST_LEAF_AUTO(config, protocol_.decode(told));
+        BOOST_LEAF_AUTO(config, protocol_.decode(peer_parts));
         if (protocol_.operatorsCountVersions() && config.version > routes_->version()) {
-          adopt(std::move(config), told);
+          adopt(std::move(config), peer_parts);
         }
         return {};
       },
--- a/source/core/router/config_in_force.h
+++ b/source/core/router/config_in_force.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The configuration in force at one process, put together from the parts that the store holds.
+/// The active configuration of one process, assembled from the parts in the metadata store.
 
 #include <functional>
 #include <map>
@@ -14,54 +14,55 @@
 
 namespace shedlever {
 
-/// Never goes back: neither to an older part, nor, where operators count the versions, to a lower one, as a copy may
-/// hold that the store has come back from.
+/// The active configuration never goes back to an older part. Where operators assign the versions, it never goes back
+/// to a lower version either; a store that was restored from a backup may hold one.
 class ActiveConfig {
  public:
   struct Events {
-    /// Another configuration is in force: `routes`.
+    /// A new configuration is active: `routes`.
     std::function<void()> on_adopted;
-    /// The parts make no configuration; the one before stays in force.
+    /// The parts could not be decoded; the previous configuration stays active.
     std::function<void(const Findings&)> on_invalid;
-    /// A part was told that is older than the one known, and is ignored.
+    /// A part older than the known one was received and ignored.
     std::function<void(const MetadataObject& part, const StoreRevision& known)> on_stale_part;
-    /// The store holds a lower version than the one in force, which is ignored.
+    /// The store holds a lower version than the active one; it is ignored.
     std::function<void(ConfigVersion)> on_lower_version;
   };
 
-  /// @param protocol reads the parts. Outlives this.
+  /// @param protocol decodes the parts. Must outlive this object.
   ActiveConfig(const ConfigProtocol& protocol, Events events) : protocol_(protocol), events_(std::move(events)) {}
 
-  /// A part was listed, changed or removed.
+  /// Handles a part that was listed, changed or removed.
   void onPartChanged(const MetadataObject& part, bool deleted);
-  /// All parts have been told.
+  /// Call once all parts have been listed.
   void onListComplete();
-  /// Another process has told all parts of the configuration in force there. Taken over if none is in force here, or if
-  /// operators count the versions and it is a later one: this process may have read the store's copy alone.
+  /// Handles the complete configuration that is active in another process. Adopts it if this process has none, or if
+  /// operators assign the versions and this one is higher: this process may have read only a restored backup of the
+  /// store.
   void onPeerConfig(const std::vector<ObjectCopy>& parts);
 
-  /// @return the configuration in force; null while there is none.
+  /// @return the active configuration; null if there is none.
   const std::shared_ptr<const RouteTable>& routes() const { return routes_; }
-  /// @return its version where operators count them; 0 where versions say nothing about which is later, or none is in
-  ///   force.
+  /// @return the version of the active configuration if operators assign the versions; 0 if versions are not comparable
+  ///   or no configuration is active.
   ConfigVersion comparableVersion() const;
-  /// @return the parts read last, with their revisions.
+  /// @return the revisions of the parts that were decoded last.
   const std::map<std::string, StoreRevision>& revisions() const { return decoded_revisions_; }
-  /// @return the parts of the configuration in force, to be told to other processes.
+  /// @return the parts of the active configuration, for other processes.
   std::vector<ObjectCopy> copies() const;
 
  private:
-  /// Reads the parts and takes them over if they are right together.
+  /// Decodes the parts and adopts the result if it is valid.
   void decodeParts();
   void adopt(RouterConfig config, const ObjectsByName& parts);
 
   const ConfigProtocol& protocol_;
   Events events_;
-  /// As the store has them.
+  /// The latest known state of the parts in the store.
   ObjectsByName parts_;
-  /// All parts have been told once.
+  /// All parts have been listed at least once.
   bool listed_ = false;
-  /// Revisions of the parts that were read last.
+  /// Revisions of the parts that were decoded last.
   std::map<std::string, StoreRevision> decoded_revisions_;
   std::shared_ptr<const RouteTable> routes_;
   ObjectsByName active_parts_;
--- a/source/core/router/evacuated_zones.cc
+++ b/source/core/router/evacuated_zones.cc
@@ -28,11 +28,11 @@
   return std::erase_if(objects_, [epoch](const auto& entry) { return entry.second.revision.era < epoch; }) > 0;
 }
 
-void EvacuatedZones::adoptPeerCopies(const std::vector<ObjectCopy>& told) {
+void EvacuatedZones::adoptPeerCopies(const std::vector<ObjectCopy>& peer_copies) {
   if (known_) {
     return;
   }
-  for (const ObjectCopy& copy : told) {
+  for (const ObjectCopy& copy : peer_copies) {
     objects_[copy.name] = {copy.name, copy.revision, copy.value};
   }
   known_ = true;
--- a/source/core/router/evacuated_zones.h
+++ b/source/core/router/evacuated_zones.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Zones whose servers operators have asked to be left alone.
+/// Zones whose servers operators have evacuated: they are to get no requests and no keys.
 
 #include <map>
 #include <set>
@@ -13,30 +13,32 @@
 
 namespace shedlever {
 
-/// One object of the store stands for each evacuated zone, under the zone's name; the evacuation ends when it is
-/// removed. Until the objects have been read once, nothing is known, which is not the same as no evacuation.
+/// Each evacuated zone has one object in the store, named after the zone; removing the object ends the evacuation.
+/// Until the objects have been read once the state is unknown, which differs from no evacuation.
 class EvacuatedZones {
  public:
-  /// A whole list is about to be told: what is not in it is over. A list of a store that has come back from a copy may
-  /// lack what operators will write again: what is known of earlier eras stays until `dropEpochsBefore`.
+  /// Starts a complete listing: zones that are not in it are no longer evacuated. A store that was restored from a
+  /// backup may lack objects that operators will write again, so objects of epochs before `epoch` are kept until
+  /// `dropEpochsBefore`.
   void beginList(StoreEra epoch = 0);
-  /// A list was told whole.
+  /// The listing is complete.
   void endList();
-  /// An object was listed, written or removed. Earlier changes of a zone, that come late, count for nothing.
+  /// Handles an object that was listed, written or removed. Ignored if older than the known state of the object.
   void onObject(const MetadataObject& object, bool deleted);
 
-  /// Another process has told all that it knows. Ignored where the store itself has told more.
-  void adoptPeerCopies(const std::vector<ObjectCopy>& told);
-  /// @return what to tell another process.
+  /// Adopts what another process knows. Ignored once the evacuated zones are known here.
+  void adoptPeerCopies(const std::vector<ObjectCopy>& peer_copies);
+  /// @return the known objects, for other processes.
   std::vector<ObjectCopy> copies() const;
 
-  /// Operators have had the time to write again what the store's copy lacked: what is of earlier eras is over.
-  /// @return whether there was any.
+  /// Drops objects of earlier epochs, once operators have had time to write again what the restored store lacked.
+  /// @return whether any object was dropped.
   bool dropEpochsBefore(StoreEra epoch);
 
   /// @return whether it is known which zones are evacuated.
   bool known() const { return known_; }
-  /// @return whether it is known and no list is being told: half a list says of some zones that they are not evacuated.
+  /// @return whether the zones are known and no listing is in progress; a partial listing lacks zones that are
+  ///   evacuated.
   bool isComplete() const { return known_ && !listing_; }
   bool contains(const ZoneName& zone) const { return objects_.contains(zone.value); }
   std::set<ZoneName> zones() const;
--- a/source/core/router/gained_keys.cc
+++ b/source/core/router/gained_keys.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-/// After so many half-lives what a giver saw counts for nothing.
+/// Half-lives after which a previous owner's rate is negligible and is dropped.
 constexpr int kRememberedHalfLives = 10;
 
 }  // namespace
--- a/source/core/router/gained_keys.h
+++ b/source/core/router/gained_keys.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Keys that other owners have given to this node's server of late, and what those saw of them.
+/// Keys that this node's server has recently gained from other owners, with the request rates those owners measured.
 
 #include <vector>
 
@@ -10,34 +10,35 @@
 
 namespace shedlever {
 
-/// An owner sees how often its new keys are asked for only after a while. Until then what their giver saw stands for
-/// it.
+/// A new owner needs time to measure the request rate of its keys. Until then the rate that the previous owner measured
+/// is used.
 class GainedKeys {
  public:
-  /// @param half_life of the meter that sees the keys' requests: as it sees more, what the giver saw counts less.
+  /// @param half_life of the meter that counts requests for the keys; the previous owner's rate decays at the same
+  ///   pace.
   explicit GainedKeys(Duration half_life) : half_life_(half_life) {}
 
-  /// Takes note of ranges that came since the last call.
+  /// Records ranges that were gained since the last call.
   /// @param owned all ranges of this node's server.
   void recordGains(const std::vector<OwnedRange>& owned, TimePoint now);
 
-  /// @return whether some of the keys came less than `age` ago.
+  /// @return whether any of the keys was gained less than `age` ago.
   bool gainedWithin(Duration age, const KeyRange& keys, TimePoint now) const;
 
-  /// @return requests a second for these keys that the meter can't have seen yet.
+  /// @return requests per second for gained keys that the meter has not had time to measure.
   double expectedRate(TimePoint now) const;
 
  private:
   struct Gain {
     KeyRange keys;
-    /// Requests a second that the giver saw.
+    /// Requests per second measured by the previous owner.
     double rate = 0;
     TimePoint gained_at{};
   };
 
   Duration half_life_;
   std::vector<Gain> gains_;
-  /// Token of the newest range that was looked at.
+  /// Highest token of all recorded ranges.
   FenceToken newest_token_ = 0;
 };
 
--- a/source/core/router/heartbeat_grants.cc
+++ b/source/core/router/heartbeat_grants.cc
@@ -7,22 +7,22 @@
 
 namespace {
 
-/// An acknowledgement that comes later after its heartbeat was sent does not count for the server (the platform's
-/// protocol). As much of a grant is not relied on, since the time of sending is not known here.
+/// The server ignores an acknowledgement that arrives later than this after it sent the heartbeat (platform protocol).
+/// The time of sending is unknown here, so a grant is not relied on for this last part of its duration.
 constexpr Duration kAcknowledgementDeadline = std::chrono::seconds(1);
-/// A server that has not been heard of for so much longer than a grant lasts holds nothing any more.
+/// Added to the grant duration before a server without heartbeats is considered to hold nothing.
 constexpr Duration kLapseMargin = std::chrono::milliseconds(300);
-/// Heartbeats in a row that don't report a range they were told before the range counts as not held.
+/// Consecutive heartbeats without an assigned range after which the range counts as not held.
 constexpr unsigned kMissedReportsUntilNotHeld = 2;
-/// ... and before the server is taken to refuse its token.
+/// Consecutive heartbeats without an assigned range after which the server is assumed to refuse its token.
 constexpr unsigned kMissedReportsUntilRefused = 4;
-/// Ranges told at once: with 42 bytes each they fit the 4 KiB that an acknowledgement may have.
+/// At 42 bytes per range, this many fit into the 4 KiB of an acknowledgement.
 constexpr std::size_t kMaxAssignedRanges = 94;
-/// Handovers remembered of ranges that nobody has asked for.
+/// Limit for handovers of ranges that are not assigned again.
 constexpr std::size_t kMaxHandovers = 128;
 
-KeyRange spanOf(const ReleasedRange& range) { return {range.first, range.last}; }
-KeyRange spanOf(const ReportedRange& range) { return {range.first, range.last}; }
+KeyRange keyRangeOf(const ReleasedRange& range) { return {range.first, range.last}; }
+KeyRange keyRangeOf(const ReportedRange& range) { return {range.first, range.last}; }
 
 bool overlap(const KeyRange& left, const KeyRange& right) {
   return left.first <= right.last && right.first <= left.last;
@@ -32,33 +32,33 @@
   return outer.first <= inner.first && inner.last <= outer.last;
 }
 
-/// @return whether the spans together hold all of `keys`.
-bool cover(std::vector<KeyRange> spans, const KeyRange& keys) {
-  std::sort(spans.begin(), spans.end());
+/// @return whether the ranges together contain all of `keys`.
+bool coverAll(std::vector<KeyRange> key_ranges, const KeyRange& keys) {
+  std::sort(key_ranges.begin(), key_ranges.end());
   std::uint32_t next = keys.first;
-  for (const KeyRange& span : spans) {
-    if (span.first <= next && next <= span.last) {
-      next = static_cast<std::uint32_t>(span.last) + 1;
+  for (const KeyRange& key_range : key_ranges) {
+    if (key_range.first <= next && next <= key_range.last) {
+      next = static_cast<std::uint32_t>(key_range.last) + 1;
     }
   }
   return next > keys.last;
 }
 
-/// @return whether the server reports all of the range as held under its token.
+/// @return whether the server reports the whole range as held under its token.
 bool reports(const KeyReport& report, const OwnedRange& range) {
-  std::vector<KeyRange> spans;
+  std::vector<KeyRange> key_ranges;
   for (const ReportedRange& held : report.held) {
     if (held.token == range.token) {
-      spans.push_back(spanOf(held));
+      key_ranges.push_back(keyRangeOf(held));
     }
   }
-  return cover(std::move(spans), range.keys);
+  return coverAll(std::move(key_ranges), range.keys);
 }
 
-/// @return whether the server holds, or works on, any of the keys.
+/// @return whether the server holds, or still processes requests for, any of the keys.
 bool holdsAny(const KeyReport& report, const KeyRange& keys) {
   return std::any_of(report.held.begin(), report.held.end(),
-                     [&](const ReportedRange& held) { return overlap(spanOf(held), keys); });
+                     [&](const ReportedRange& held) { return overlap(keyRangeOf(held), keys); });
 }
 
 }  // namespace
@@ -67,7 +67,7 @@
     : config_(config), started_(started), events_(std::move(events)) {}
 
 void HeartbeatGrants::update(const std::vector<OwnedRange>&, TimePoint, TimePoint now) {
-  std::erase_if(expiring_, [now](const RangeAssignment& told) { return told.may_hold_until <= now; });
+  std::erase_if(expiring_, [now](const RangeAssignment& assignment) { return assignment.may_hold_until <= now; });
   endReleases(now, nullptr);
 }
 
@@ -76,18 +76,18 @@
   if (after == assigned_.begin()) {
     return nullptr;
   }
-  const RangeAssignment& told = std::prev(after)->second;
-  return told.range.keys.contains(key) ? &told : nullptr;
+  const RangeAssignment& assignment = std::prev(after)->second;
+  return assignment.range.keys.contains(key) ? &assignment : nullptr;
 }
 
 bool HeartbeatGrants::isHeld(Key key, TimePoint now) const {
-  const RangeAssignment* told = assignedFor(key);
-  return told != nullptr && now < told->held_until;
+  const RangeAssignment* assignment = assignedFor(key);
+  return assignment != nullptr && now < assignment->held_until;
 }
 
 void HeartbeatGrants::onKeyRefused(Key key) {
-  if (const RangeAssignment* told = assignedFor(key)) {
-    assigned_.at(told->range.keys.first).held_until = {};
+  if (const RangeAssignment* assignment = assignedFor(key)) {
+    assigned_.at(assignment->range.keys.first).held_until = {};
   }
 }
 
@@ -107,7 +107,7 @@
   handovers_.clear();
 }
 
-// What heartbeats say.
+// Handling of heartbeats.
 
 void HeartbeatGrants::onReport(const KeyReport& report, TimePoint received) {
   last_report_ = received;
@@ -120,7 +120,7 @@
   for (const ReleasedRange& piece : report.released) {
     handovers_[piece.first] = piece;
     for (Release& release : releases_) {
-      if (release.omitted && overlap(release.range.keys, spanOf(piece))) {
+      if (release.omitted && overlap(release.range.keys, keyRangeOf(piece))) {
         release.pieces.push_back(piece);
       }
     }
@@ -132,22 +132,22 @@
 
 void HeartbeatGrants::recordHeld(const KeyReport& report) {
   std::vector<OwnedRange> refused;
-  for (auto& [first, told] : assigned_) {
-    if (reports(report, told.range)) {
-      told.missed_reports = 0;
+  for (auto& [first, assignment] : assigned_) {
+    if (reports(report, assignment.range)) {
+      assignment.missed_reports = 0;
       continue;
     }
-    ++told.missed_reports;
-    if (told.missed_reports >= kMissedReportsUntilNotHeld) {
-      told.held_until = {};
+    ++assignment.missed_reports;
+    if (assignment.missed_reports >= kMissedReportsUntilNotHeld) {
+      assignment.held_until = {};
     }
-    if (told.missed_reports % kMissedReportsUntilRefused == 0) {
-      refused.push_back(told.range);
+    if (assignment.missed_reports % kMissedReportsUntilRefused == 0) {
+      refused.push_back(assignment.range);
     }
   }
   std::erase_if(handovers_, [&](const auto& entry) {
     return std::any_of(report.held.begin(), report.held.end(),
-                       [&](const ReportedRange& held) { return overlap(spanOf(held), spanOf(entry.second)); });
+                       [&](const ReportedRange& held) { return overlap(keyRangeOf(held), keyRangeOf(entry.second)); });
   });
   for (const OwnedRange& range : refused) {
     events_.superseded(range);
@@ -155,37 +155,37 @@
 }
 
 TimePoint HeartbeatGrants::mayHoldUntil(const KeyRange& keys) const {
-  // What an earlier process told before this one started is not known.
+  // Assignments by an earlier process are unknown; they may last one grant duration after the start of this one.
   TimePoint until =
       started_ + std::chrono::duration_cast<Duration>(config_.heartbeat_hold * config_.clock_drift_factor);
-  const auto note = [&](const RangeAssignment& told) {
-    if (overlap(told.range.keys, keys)) {
-      until = std::max(until, told.may_hold_until);
+  const auto extend = [&](const RangeAssignment& assignment) {
+    if (overlap(assignment.range.keys, keys)) {
+      until = std::max(until, assignment.may_hold_until);
     }
   };
-  for (const auto& [first, told] : assigned_) {
-    note(told);
+  for (const auto& [first, assignment] : assigned_) {
+    extend(assignment);
   }
-  std::for_each(expiring_.begin(), expiring_.end(), note);
+  std::for_each(expiring_.begin(), expiring_.end(), extend);
   return until;
 }
 
-/// A range that was told under a new token is reported as released under its old one while the server goes on holding
-/// it, so that the word alone is not enough: the server must hold, and work on, none of its keys.
+/// After a change of tokens the server reports the range as released under its old token while it still holds it under
+/// the new one. A reported release therefore counts only once the server holds none of the keys.
 void HeartbeatGrants::endReleases(TimePoint now, const KeyReport* report) {
   std::vector<std::pair<ReleaseCallback, ReleaseResult>> ended;
   std::erase_if(releases_, [&](Release& release) {
-    std::vector<KeyRange> spans;
-    std::transform(release.pieces.begin(), release.pieces.end(), std::back_inserter(spans),
-                   [](const ReleasedRange& piece) { return spanOf(piece); });
-    const bool told =
-        report != nullptr && cover(std::move(spans), release.range.keys) && !holdsAny(*report, release.range.keys);
+    std::vector<KeyRange> key_ranges;
+    std::transform(release.pieces.begin(), release.pieces.end(), std::back_inserter(key_ranges),
+                   [](const ReleasedRange& piece) { return keyRangeOf(piece); });
+    const bool reported = report != nullptr && coverAll(std::move(key_ranges), release.range.keys) &&
+                          !holdsAny(*report, release.range.keys);
     const bool lapsed = now >= mayHoldUntil(release.range.keys);
-    if (!told && !lapsed) {
+    if (!reported && !lapsed) {
       return false;
     }
-    ++(told ? counts_.released : counts_.lapsed);
-    const std::string handover = told ? release.pieces.back().handover : handoverFor(release.range, {});
+    ++(reported ? counts_.released : counts_.lapsed);
+    const std::string handover = reported ? release.pieces.back().handover : handoverFor(release.range, {});
     ended.emplace_back(std::move(release.done), ReleaseResult{OrderStatus::Done, handover});
     return true;
   });
@@ -194,15 +194,15 @@
   }
 }
 
-// What acknowledgements tell.
+// Contents of acknowledgements.
 
 std::string HeartbeatGrants::handoverFor(const OwnedRange& range, const KeyReport& report) const {
   const bool holds_some = std::any_of(report.held.begin(), report.held.end(),
-                                      [&](const ReportedRange& held) { return overlap(spanOf(held), range.keys); });
+                                      [&](const ReportedRange& held) { return overlap(keyRangeOf(held), range.keys); });
   if (holds_some) {
     return {};
   }
-  const auto covers = [&](const auto& entry) { return contains(spanOf(entry.second), range.keys); };
+  const auto covers = [&](const auto& entry) { return contains(keyRangeOf(entry.second), range.keys); };
   const auto known = std::find_if(handovers_.begin(), handovers_.end(), covers);
   return known == handovers_.end() ? range.handover : known->second.handover;
 }
@@ -222,24 +222,24 @@
 bool HeartbeatGrants::wouldChange(const std::vector<OwnedRange>& wanted, const KeyReport& report) const {
   const std::vector<OwnedRange> ranges = assignable(wanted, report);
   const auto is_reported = [&](const OwnedRange& range) { return reports(report, range); };
-  const auto is_told = [&](const ReportedRange& held) {
-    std::vector<KeyRange> spans;
+  const auto is_assigned = [&](const ReportedRange& held) {
+    std::vector<KeyRange> key_ranges;
     for (const OwnedRange& range : ranges) {
       if (range.token == held.token) {
-        spans.push_back(range.keys);
+        key_ranges.push_back(range.keys);
       }
     }
-    return cover(std::move(spans), spanOf(held));
+    return coverAll(std::move(key_ranges), keyRangeOf(held));
   };
   return !std::all_of(ranges.begin(), ranges.end(), is_reported) ||
-         !std::all_of(report.held.begin(), report.held.end(), is_told);
+         !std::all_of(report.held.begin(), report.held.end(), is_assigned);
 }
 
 std::optional<KeyAssignment> HeartbeatGrants::assign(const std::vector<OwnedRange>& wanted, const KeyReport& report,
                                                      TimePoint lease_until, TimePoint received, TimePoint now) {
   ++counts_.acknowledgements;
-  const auto room = std::chrono::duration_cast<Duration>((lease_until - received) / config_.clock_drift_factor);
-  const Duration hold = std::chrono::floor<std::chrono::milliseconds>(std::min(config_.heartbeat_hold, room));
+  const auto lease_left = std::chrono::duration_cast<Duration>((lease_until - received) / config_.clock_drift_factor);
+  const Duration hold = std::chrono::floor<std::chrono::milliseconds>(std::min(config_.heartbeat_hold, lease_left));
   if (hold < config_.min_grant + (now - received)) {
     ++counts_.without_keys;
     return std::nullopt;
@@ -260,22 +260,22 @@
 void HeartbeatGrants::recordAssignment(const std::vector<OwnedRange>& ranges, const KeyReport& report, Duration hold,
                                        TimePoint received) {
   std::map<Key, RangeAssignment> before = std::exchange(assigned_, {});
-  const auto may_hold = std::chrono::duration_cast<Duration>(hold * config_.clock_drift_factor);
+  const auto max_hold = std::chrono::duration_cast<Duration>(hold * config_.clock_drift_factor);
   for (const OwnedRange& range : ranges) {
-    RangeAssignment told{range, received + may_hold, received + hold - kAcknowledgementDeadline, 0};
+    RangeAssignment assignment{range, received + max_hold, received + hold - kAcknowledgementDeadline, 0};
     const auto earlier = before.find(range.keys.first);
     if (earlier != before.end() && earlier->second.range.keys == range.keys &&
         earlier->second.range.token == range.token) {
-      told.missed_reports = earlier->second.missed_reports;
+      assignment.missed_reports = earlier->second.missed_reports;
     }
-    if (told.missed_reports >= kMissedReportsUntilNotHeld) {
-      told.held_until = {};
+    if (assignment.missed_reports >= kMissedReportsUntilNotHeld) {
+      assignment.held_until = {};
     }
     assigned_new_range_ = assigned_new_range_ || !reports(report, range);
-    assigned_.emplace(range.keys.first, told);
+    assigned_.emplace(range.keys.first, assignment);
   }
-  for (auto& [first, told] : before) {
-    expiring_.push_back(told);
+  for (auto& [first, assignment] : before) {
+    expiring_.push_back(assignment);
   }
 }
 
@@ -286,8 +286,8 @@
 }
 
 bool HeartbeatGrants::allLapsed(TimePoint now) const {
-  const auto longest = std::chrono::duration_cast<Duration>(config_.heartbeat_hold * config_.clock_drift_factor);
-  return now - std::max(last_report_, started_) > longest + kLapseMargin;
+  const auto max_hold = std::chrono::duration_cast<Duration>(config_.heartbeat_hold * config_.clock_drift_factor);
+  return now - std::max(last_report_, started_) > max_hold + kLapseMargin;
 }
 
 }  // namespace shedlever
--- a/source/core/router/heartbeat_grants.h
+++ b/source/core/router/heartbeat_grants.h
@@ -1,12 +1,13 @@
 #pragma once
 
 /// @file
-/// Grants in the acknowledgements of the server's heartbeats. Each acknowledgement tells all that the server is to
-/// hold, worked out when it is made: nothing is queued, so nothing late can bring an old state back.
+/// Grants keys in the acknowledgements of the server's heartbeats. Each acknowledgement lists everything that the
+/// server is to hold and is computed when it is sent. Nothing is queued, so a delayed message cannot restore an
+/// outdated assignment.
 ///
-/// The server takes any token that it has not seen a higher one for, so that one owner a key rests on this node alone:
-/// a range is told only while the node's lease lasts, and counts as let go only when the server says so or when
-/// everything that could have renewed it has run out.
+/// The server accepts any token that is not lower than one it has seen. This node alone therefore ensures that a key
+/// has one owner: it assigns a range only while its lease is valid, and treats a range as released only when the server
+/// reports the release or when every grant that covers the range has expired.
 
 #include <cstddef>
 #include <cstdint>
@@ -21,20 +22,19 @@
 
 namespace shedlever {
 
-/// Counts of what heartbeats have told and were told, for metrics.
+/// Counters for metrics.
 struct HeartbeatGrantCounts {
   std::uint64_t acknowledgements = 0;
-  /// Acknowledgements that told nothing of keys.
+  /// Acknowledgements without a key assignment.
   std::uint64_t without_keys = 0;
   std::uint64_t released = 0;
-  /// Ranges that were not reported as released and ran out.
+  /// Releases that ended because the grants expired, without a report from the server.
   std::uint64_t lapsed = 0;
 };
 
 class HeartbeatGrants final : public GrantChannel {
  public:
-  /// @param started when this process began: what an earlier one told the server may last until the length of a grant
-  ///   after that.
+  /// @param started start time of this process. Grants by an earlier process may last for one grant duration after it.
   HeartbeatGrants(const OwnershipConfig& config, TimePoint started, Events events);
 
   void update(const std::vector<OwnedRange>& wanted, TimePoint lease_until, TimePoint now) override;
@@ -43,49 +43,52 @@
   void release(const OwnedRange& range, ReleaseCallback done) override;
   void clear() override;
 
-  /// A heartbeat that is newer than all before it.
+  /// Handles a heartbeat.
+  /// @param report must be newer than all earlier ones.
   void onReport(const KeyReport& report, TimePoint received);
 
-  /// Works out what the server is to hold, and takes note that it may hold it from now on.
-  /// @param wanted ranges to be told; those that are being released are left out.
-  /// @param report the heartbeat that is acknowledged. @param received when it came.
-  /// @return none when the lease is too short to tell anything.
+  /// Computes what the server is to hold and records that it may hold this from now on.
+  /// @param wanted ranges to assign; those that are being released are left out.
+  /// @param report the heartbeat that is acknowledged.
+  /// @param received time at which the heartbeat arrived.
+  /// @return none if the lease is too short for a grant.
   std::optional<KeyAssignment> assign(const std::vector<OwnedRange>& wanted, const KeyReport& report,
                                       TimePoint lease_until, TimePoint received, TimePoint now);
 
-  /// An acknowledgement with what `assign` told has been given.
+  /// The acknowledgement with the last result of `assign` has been sent.
   void onAcknowledged();
 
   /// @return whether an acknowledgement now would change what the server holds.
   bool wouldChange(const std::vector<OwnedRange>& wanted, const KeyReport& report) const;
 
-  /// @return whether the server can hold nothing any more, as it has not been heard of for so long.
+  /// @return whether the last heartbeat is so old that the server can hold nothing any more.
   bool allLapsed(TimePoint now) const;
 
   const HeartbeatGrantCounts& counts() const { return counts_; }
 
  private:
-  /// A range as it was told last.
+  /// A range as it was assigned last.
   struct RangeAssignment {
     OwnedRange range;
-    /// The server may hold it until then, by its own clock.
+    /// Latest time until which the server may hold the range, including clock drift.
     TimePoint may_hold_until{};
-    /// It holds it until then for sure if it has read the acknowledgement.
+    /// Time until which the server certainly holds the range if it has read the acknowledgement.
     TimePoint held_until{};
-    /// Acknowledgements in a row that told it without the next heartbeat reporting it.
+    /// Consecutive heartbeats that did not report the range as held.
     unsigned missed_reports = 0;
   };
   struct Release {
     OwnedRange range;
     ReleaseCallback done;
-    /// Pieces that the server has let go of since the release began.
+    /// Pieces that the server has released since the release began.
     std::vector<ReleasedRange> pieces;
-    /// An acknowledgement without the range has been given.
+    /// An acknowledgement without the range has been sent.
     bool omitted = false;
   };
 
   bool isBeingReleased(const KeyRange& keys) const;
-  /// @return the ranges to be told: not being released, and not more than fit, those held already first.
+  /// @return the ranges to assign: those not being released, up to the limit of one acknowledgement; ranges that the
+  ///   server already holds take precedence.
   std::vector<OwnedRange> assignable(const std::vector<OwnedRange>& wanted, const KeyReport& report) const;
   const RangeAssignment* assignedFor(Key key) const;
   TimePoint mayHoldUntil(const KeyRange& keys) const;
@@ -94,7 +97,7 @@
                         TimePoint received);
   void recordReleased(const KeyReport& report);
   void recordHeld(const KeyReport& report);
-  /// @param report the heartbeat that has come now; null when time has passed only.
+  /// @param report the heartbeat that has just arrived; null if only time has passed.
   void endReleases(TimePoint now, const KeyReport* report);
 
   const OwnershipConfig& config_;
@@ -102,12 +105,12 @@
   Events events_;
   /// Ranges of the last acknowledgement, by first key.
   std::map<Key, RangeAssignment> assigned_;
-  /// Ranges of earlier ones that have not run out yet.
+  /// Ranges of earlier acknowledgements that may not have expired yet.
   std::vector<RangeAssignment> expiring_;
-  /// The last acknowledgement told a range that the server did not hold.
+  /// The last acknowledgement assigned a range that the server did not hold.
   bool assigned_new_range_ = false;
   std::vector<Release> releases_;
-  /// What the server let go of most recently, by first key.
+  /// Handovers of the ranges that the server has released, by first key.
   std::map<Key, ReleasedRange> handovers_;
   TimePoint last_report_{};
   HeartbeatGrantCounts counts_;
--- a/source/core/router/heartbeat_responder.cc
+++ b/source/core/router/heartbeat_responder.cc
@@ -6,7 +6,7 @@
 
 void HeartbeatResponder::onHeartbeat(KeyReport report, Reply reply) {
   if (pending_) {
-    // The server has given it up, or will not see two acknowledgements in their order.
+    // The server has given up the earlier heartbeat or may receive the acknowledgements out of order.
     const PendingHeartbeat earlier = *std::exchange(pending_, std::nullopt);
     earlier.reply(std::nullopt);
   }
--- a/source/core/router/heartbeat_responder.h
+++ b/source/core/router/heartbeat_responder.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// When a server's heartbeat is acknowledged. A heartbeat whose acknowledgement would change nothing is kept for a
-/// while: if keys come or go in the meantime the server hears of it at once, and not with its next heartbeat.
+/// Decides when a server's heartbeat is acknowledged. The acknowledgement is held back while it would change nothing,
+/// so that a change of keys reaches the server at once and not after its next heartbeat.
 
 #include <functional>
 #include <optional>
@@ -16,21 +16,22 @@
  public:
   struct Ports {
     const Clock* clock = nullptr;
-    /// Works out what to tell; none: nothing is said of keys.
+    /// Computes the key assignment of the acknowledgement; none: it contains no keys.
     std::function<std::optional<KeyAssignment>(const KeyReport&, TimePoint received)> assign;
     std::function<bool(const KeyReport&)> would_change;
-    /// The acknowledgement has been given.
+    /// The acknowledgement has been sent.
     std::function<void()> on_acknowledged;
   };
   using Reply = std::function<void(const std::optional<KeyAssignment>&)>;
 
-  /// @param longest_wait for news; zero: every heartbeat is acknowledged at once. Outlives the responder.
-  HeartbeatResponder(const Duration& longest_wait, Ports ports) : max_wait_(longest_wait), ports_(std::move(ports)) {}
+  /// @param max_wait longest time for which an acknowledgement is held back; zero: every heartbeat is acknowledged at
+  ///   once. Must outlive the responder.
+  HeartbeatResponder(const Duration& max_wait, Ports ports) : max_wait_(max_wait), ports_(std::move(ports)) {}
 
-  /// A heartbeat that is newer than all before it. One that still waits is acknowledged without a word of keys.
+  /// Handles a heartbeat that is newer than all earlier ones. A pending earlier heartbeat is acknowledged without keys.
   void onHeartbeat(KeyReport report, Reply reply);
 
-  /// Keys may have changed, or time has passed.
+  /// Call when keys may have changed or time has passed.
   void respondIfDue();
 
  private:
--- a/source/core/router/key_meter.cc
+++ b/source/core/router/key_meter.cc
@@ -8,14 +8,14 @@
 
 namespace {
 
-/// Half-lives after which the sums are brought back to the present, before they leave the range of a float.
+/// The sums are rescaled to the current time before they exceed the range of a float.
 constexpr double kRescaleAfterHalfLives = 40.0;
-/// Seconds below which a meter is too young for a rate.
+/// Lower bound for the age of the meter, to avoid extreme rates right after its start.
 constexpr double kMinAgeSeconds = 0.2;
 
 struct EndCut {
   KeyRange keys;
-  double work = 0;
+  double load = 0;
 };
 
 }  // namespace
@@ -37,19 +37,19 @@
   }
   double scale = scaleAt(now);
   if (scale > std::exp2(kRescaleAfterHalfLives)) {
-    for (float& work : work_) {
-      work = static_cast<float>(work / scale);
+    for (float& load : load_) {
+      load = static_cast<float>(load / scale);
     }
     reference_ = now;
     scale = 1.0;
   }
-  work_[key] += static_cast<float>(amount * scale);
+  load_[key] += static_cast<float>(amount * scale);
 }
 
 double KeyMeter::sum(const KeyRange& keys, TimePoint now) const {
   double total = 0;
   for (std::uint32_t key = keys.first; key <= keys.last; ++key) {
-    total += work_[key];
+    total += load_[key];
   }
   return total / scaleAt(now);
 }
@@ -57,50 +57,51 @@
 std::vector<KeyRange> KeyMeter::split(const KeyRange& range, std::size_t parts, TimePoint now) const {
   const double scale = scaleAt(now);
   const double share = sum(range, now) / static_cast<double>(parts);
-  std::vector<KeyRange> runs;
-  KeyRange run{range.first, range.first};
-  double work = 0;
+  std::vector<KeyRange> ranges;
+  KeyRange current{range.first, range.first};
+  double load = 0;
   for (std::uint32_t key = range.first; key <= range.last; ++key) {
-    work += work_[key] / scale;
-    run.last = static_cast<Key>(key);
-    if (share > 0 && work >= share && runs.size() + 1 < parts && key < range.last) {
-      runs.push_back(run);
-      run.first = static_cast<Key>(key + 1);
-      work = 0;
+    load += load_[key] / scale;
+    current.last = static_cast<Key>(key);
+    if (share > 0 && load >= share && ranges.size() + 1 < parts && key < range.last) {
+      ranges.push_back(current);
+      current.first = static_cast<Key>(key + 1);
+      load = 0;
     }
   }
-  runs.push_back(run);
-  return runs;
+  ranges.push_back(current);
+  return ranges;
 }
 
-std::optional<KeyRange> KeyMeter::cutFromEnd(const KeyRange& range, double wanted, double most, TimePoint now) const {
+std::optional<KeyRange> KeyMeter::cutFromEnd(const KeyRange& range, double wanted, double max_load,
+                                             TimePoint now) const {
   const double scale = scaleAt(now);
   const auto from_low_end = [&] {
     EndCut cut;
-    for (std::uint32_t key = range.first; key < range.last && cut.work < wanted; ++key) {
-      if (cut.work + work_[key] / scale > most) {
+    for (std::uint32_t key = range.first; key < range.last && cut.load < wanted; ++key) {
+      if (cut.load + load_[key] / scale > max_load) {
         break;
       }
-      cut.work += work_[key] / scale;
+      cut.load += load_[key] / scale;
       cut.keys = {range.first, static_cast<Key>(key)};
     }
     return cut;
   };
   const auto from_high_end = [&] {
     EndCut cut;
-    for (std::uint32_t key = range.last; key > range.first && cut.work < wanted; --key) {
-      if (cut.work + work_[key] / scale > most) {
+    for (std::uint32_t key = range.last; key > range.first && cut.load < wanted; --key) {
+      if (cut.load + load_[key] / scale > max_load) {
         break;
       }
-      cut.work += work_[key] / scale;
+      cut.load += load_[key] / scale;
       cut.keys = {static_cast<Key>(key), range.last};
     }
     return cut;
   };
   const EndCut low = from_low_end();
   const EndCut high = from_high_end();
-  const EndCut& best = std::abs(low.work - wanted) <= std::abs(high.work - wanted) ? low : high;
-  if (best.work <= 0) {
+  const EndCut& best = std::abs(low.load - wanted) <= std::abs(high.load - wanted) ? low : high;
+  if (best.load <= 0) {
     return std::nullopt;
   }
   return best.keys;
--- a/source/core/router/key_meter.h
+++ b/source/core/router/key_meter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// How much of a server's work each key brings, with older work counting less.
+/// Measures the load on each key, weighting recent load more.
 
 #include <optional>
 #include <vector>
@@ -11,42 +11,42 @@
 
 namespace shedlever {
 
-/// Exponentially decayed sum of work a key.
+/// Exponentially decaying sum of the load on each key.
 class KeyMeter {
  public:
-  /// @param half_life after which work counts half.
-  explicit KeyMeter(Duration half_life) : half_life_(half_life), work_(kKeyCount, 0.0F) {}
+  /// @param half_life time after which load counts half.
+  explicit KeyMeter(Duration half_life) : half_life_(half_life), load_(kKeyCount, 0.0F) {}
 
-  /// @param amount of work, in any unit.
+  /// @param amount of load, in any unit.
   void add(Key key, double amount, TimePoint now);
 
-  /// @return decayed work of the keys.
+  /// @return decayed load on the keys.
   double sum(const KeyRange& keys, TimePoint now) const;
 
-  /// @return work of the keys a second.
+  /// @return load on the keys per second.
   double rate(const KeyRange& keys, TimePoint now) const { return sum(keys, now) / windowSeconds(now); }
 
-  /// @return time that decayed sums stand for: their amount at a steady rate is the rate times this. Shorter while the
-  ///   meter is young.
+  /// @return the effective averaging window: at a steady rate the decayed sum is the rate times this. Shorter while the
+  ///   meter is new.
   double windowSeconds(TimePoint now) const;
 
-  /// Divides the range into at most `parts` runs that bring about the same work each.
+  /// Divides the range into at most `parts` consecutive ranges of about equal load.
   std::vector<KeyRange> split(const KeyRange& range, std::size_t parts, TimePoint now) const;
 
-  /// Finds keys at either end of the range that bring about so much work: never the whole range unless it is one key,
-  /// and never more than `most`.
-  /// @return none when no end fits, as with one key that brings more than `most`.
-  std::optional<KeyRange> cutFromEnd(const KeyRange& range, double wanted, double most, TimePoint now) const;
+  /// Finds keys at one end of the range with about the wanted load: never the whole range, and never more load than
+  /// `max_load`.
+  /// @return none if no end fits, as for a range of one key or if a single key exceeds `max_load`.
+  std::optional<KeyRange> cutFromEnd(const KeyRange& range, double wanted, double max_load, TimePoint now) const;
 
  private:
   double scaleAt(TimePoint now) const;
 
   Duration half_life_;
-  /// Work is kept as if done at `reference_`; newer work is scaled up instead of scaling all old work down.
+  /// Load is stored as if added at `reference_`; newer load is scaled up instead of scaling all older load down.
   TimePoint reference_{};
-  /// When the first work was noted.
+  /// Time of the first recorded load.
   TimePoint since_{};
-  std::vector<float> work_;
+  std::vector<float> load_;
 };
 
 }  // namespace shedlever
--- a/source/core/router/key_moves.cc
+++ b/source/core/router/key_moves.cc
@@ -26,12 +26,13 @@
     }
     return changed;
   };
-  ports_.change("release begun for " + describe(pieces.front()) + " and " + std::to_string(pieces.size() - 1) + " more",
-                mark, [this, pieces, to, batch = batch_](bool written) {
-                  if (written && batch == batch_ && moves_.empty()) {
-                    onReleaseMarked(pieces, to);
-                  }
-                });
+  ports_.change(
+      "release begun for " + describe(pieces.front()) + " and " + std::to_string(pieces.size() - 1) + " more pieces",
+      mark, [this, pieces, to, batch = batch_](bool written) {
+        if (written && batch == batch_ && moves_.empty()) {
+          onReleaseMarked(pieces, to);
+        }
+      });
 }
 
 void KeyMoves::onReleaseMarked(const std::vector<KeyRange>& pieces, const std::vector<OwnerLocation>& to) {
@@ -66,21 +67,21 @@
   }
   moves_[index].released = true;
   moves_[index].handover = result.handover;
-  const bool all = std::all_of(moves_.begin(), moves_.end(), [](const Move& move) { return move.released; });
-  if (all) {
+  const bool all_released = std::all_of(moves_.begin(), moves_.end(), [](const Move& move) { return move.released; });
+  if (all_released) {
     assign();
   }
 }
 
 void KeyMoves::assign() {
   const std::vector<OwnerLocation> to = ports_.targets();
-  std::vector<OwnerLocation> gainers;
+  std::vector<OwnerLocation> recipients;
   for (std::size_t i = 0; i < moves_.size(); ++i) {
     const bool still_there = std::find(to.begin(), to.end(), moves_[i].target) != to.end();
     if (!still_there) {
       moves_[i].target = to.empty() ? from_ : to[i % to.size()];
     }
-    gainers.push_back(moves_[i].target);
+    recipients.push_back(moves_[i].target);
   }
   const auto edit = [moves = moves_, owner = from_.instance](OwnerTable& table) {
     bool changed = false;
@@ -92,7 +93,7 @@
     }
     return changed;
   };
-  ports_.transfer("ranges moved to " + gainers.front().node.value, gainers, edit, [this](bool) {
+  ports_.transfer("ranges moved to " + recipients.front().node.value, recipients, edit, [this](bool) {
     cancel();
     ports_.on_batch_done();
   });
--- a/source/core/router/key_moves.h
+++ b/source/core/router/key_moves.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Keys on their way from this node's server to others.
+/// Moves keys from this node's server to others.
 
 #include <cstdint>
 #include <functional>
@@ -14,38 +14,39 @@
 
 namespace shedlever {
 
-/// One batch at a time: its ranges are marked in the table, the server lets go of them, and one write of the table
-/// gives all of them to their new owners.
+/// Moves one batch at a time: marks its ranges in the table, has the server release them, and transfers all of them to
+/// their new owners with one write of the table.
 class KeyMoves {
  public:
   struct Ports {
     const TableWriter* writer = nullptr;
     /// Queues a change of the table.
     std::function<void(const std::string& what, TableWriter::Edit, TableWriter::Done)> change;
-    /// As `change`, for one that gives keys to these.
+    /// Queues a change of the table that transfers keys to these servers.
     std::function<void(const std::string& what, const std::vector<OwnerLocation>& to, TableWriter::Edit,
                        TableWriter::Done)>
         transfer;
-    /// The server is to let go of a range.
+    /// Asks the server to release a range.
     std::function<void(const OwnedRange&, GrantChannel::ReleaseCallback)> release;
-    /// @return servers that may be given keys now.
+    /// @return servers that keys may be moved to now.
     std::function<std::vector<OwnerLocation>()> targets;
-    /// @return requests a second for the keys.
+    /// @return requests per second for the keys.
     std::function<std::uint32_t(const KeyRange&)> rate_of;
     /// Nothing listens at the server's address.
     std::function<void()> on_server_gone;
-    /// The batch has been given away.
+    /// The batch has ended: its last change of the table was written or no longer applied.
     std::function<void()> on_batch_done;
   };
 
   explicit KeyMoves(Ports ports) : ports_(std::move(ports)) {}
 
-  /// Moves pieces of the server's ranges to these in turn. @param from the server that owns them.
+  /// Moves the pieces of the server's ranges to the servers in `to`, in turn.
+  /// @param from the server that owns them.
   void start(const OwnerLocation& from, const std::vector<KeyRange>& pieces, const std::vector<OwnerLocation>& to);
 
   bool empty() const { return moves_.empty(); }
 
-  /// The server that owned them is gone: what is under way counts for nothing.
+  /// Drops the current batch, because the server that owned its keys is gone.
   void cancel();
 
  private:
@@ -54,7 +55,7 @@
     OwnerLocation target;
     bool released = false;
     std::string handover;
-    /// Requests a second for them when the move began.
+    /// Requests per second for the range when the move began.
     std::uint32_t rate = 0;
   };
 
@@ -66,7 +67,7 @@
   Ports ports_;
   OwnerLocation from_;
   std::vector<Move> moves_;
-  /// Numbers batches: what comes of an earlier one counts for nothing.
+  /// Identifies the batch; results of earlier batches are ignored.
   std::uint64_t batch_ = 0;
 };
 
--- a/source/core/router/lease_keeper.cc
+++ b/source/core/router/lease_keeper.cc
@@ -18,8 +18,8 @@
 }
 
 LeaseRecord LeaseRecord::decode(const std::string& text) {
-  // What another writer put there says nothing: its holder may have a lease still, which is over once the object has
-  // stood unchanged for as long.
+  // Invalid text says nothing about the holder's lease, which ends once the object has been unchanged for the whole
+  // lease duration.
   LeaseRecord record;
   const auto document = parseObject(text);
   if (!document) {
--- a/source/core/router/lease_keeper.h
+++ b/source/core/router/lease_keeper.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// This node's lease: one object in the metadata store that only this node renews and that a challenger may revoke.
+/// This node's lease: one object in the metadata store that only this node renews and that other nodes may revoke.
 
 #include <algorithm>
 #include <functional>
@@ -16,52 +16,52 @@
 /// Value of a lease object.
 struct LeaseRecord {
   Incarnation incarnation;
-  /// Rises with each renewal.
+  /// Incremented with each renewal.
   std::uint64_t renewal_count = 0;
-  /// A challenger took it; the holder has lost everything that the lease stood for.
+  /// Another node has revoked the lease; the holder has lost all ownership that the lease protected.
   bool revoked = false;
 
   std::string encode() const;
-  /// @return the record; a revoked one for text that can't be read.
+  /// @return the record; fields that are missing or invalid keep their default values.
   static LeaseRecord decode(const std::string& text);
 };
 
-/// What another node's process told of its lease.
+/// A lease as reported by its holder's process.
 struct PeerLease {
-  /// Of the lease object that it rests on; 0: not told.
+  /// Revision of the lease object; 0: not reported.
   StoreRevision revision;
-  /// It lasts until then at least, unless it is revoked.
+  /// The lease is valid at least until then unless it is revoked.
   TimePoint valid_until{};
-  /// It is over by then, by a clock that may run apart, unless the object has changed.
+  /// The lease has expired by then, allowing for clock differences, unless the object has changed.
   TimePoint expired_by{};
 };
 
-/// Counts the lease from when the renewal was sent, so that the holder never believes in it longer than others do.
+/// The lease counts from the time at which the renewal was sent, so that the holder never considers it valid longer
+/// than other nodes do.
 class LeaseManager {
  public:
-  /// @param on_revoked the lease was taken away and has been obtained anew: what it stood for must be confirmed in the
-  ///   table before it counts again.
+  /// @param on_revoked the lease was revoked, or may have been, and is held again. Ownership under the old lease must
+  ///   be confirmed in the table before it counts.
   LeaseManager(NodeIdentity self, const OwnershipConfig& config, MetadataStore& store, const Clock& clock,
                std::function<void()> on_revoked);
 
-  /// The node's process before this one had the lease for so long at least. There is one process of a node at a time,
-  /// so nobody can hold what the lease stands for until then but this one. Counts until this process has renewed it.
+  /// Takes over the remaining lease of this node's previous process, until this process has renewed it. A node runs one
+  /// process at a time, so no other process can use the lease until then.
   void inherit(TimePoint until);
 
-  /// Renews when it is time.
+  /// Renews the lease if due.
   void tick(TimePoint now);
 
   bool valid(TimePoint now) const { return now < valid_until_; }
   TimePoint validUntil() const { return valid_until_; }
-  /// @return revision of the lease object whose renewal by this process `validUntil` rests on; 0 when it rests on none.
+  /// @return revision of the lease object after the last renewal by this process; 0 if there was none.
   StoreRevision renewedRevision() const { return renewed_revision_; }
 
  private:
   void sendRenewal(TimePoint now);
   void onAnswer(const StoreAnswer& answer, TimePoint sent);
-  /// @return whether the lease was over when the renewal was sent, and the store has come back from a copy since the
-  /// one
-  ///   before: a challenger may have revoked it, of which the store knows nothing any more.
+  /// @return whether the lease had expired when the renewal was sent and the store has been restored from a backup
+  ///   since the previous renewal. The restored store would not show a revocation in between.
   bool mayHaveBeenRevokedBeforeRestore(TimePoint sent) const;
 
   NodeIdentity self_;
@@ -69,7 +69,7 @@
   MetadataStore& store_;
   const Clock& clock_;
   std::function<void()> on_revoked_;
-  /// 0: not known, or the object does not exist.
+  /// 0: unknown, or the object does not exist.
   StoreRevision revision_;
   StoreRevision renewed_revision_;
   std::uint64_t count_ = 0;
@@ -78,7 +78,7 @@
   TimePoint valid_until_{};
 };
 
-/// Kind of lease objects in the store; nobody watches it.
+/// Kind of lease objects in the store; it is not watched.
 inline constexpr const char* kLeaseKind = "shedlever-leases";
 
 }  // namespace shedlever
--- a/source/core/router/ordered_grants.cc
+++ b/source/core/router/ordered_grants.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/// A grant is renewed once this part of it is over.
-constexpr int kRenewalParts = 3;
+/// A grant is renewed after this fraction (1/n) of its duration.
+constexpr int kRenewalDivisor = 3;
 
 bool sameGrant(const OwnedRange& left, const OwnedRange& right) {
   return left.keys == right.keys && left.token == right.token && left.owner == right.owner;
@@ -24,15 +24,15 @@
     return std::any_of(wanted.begin(), wanted.end(), [&](const OwnedRange& other) { return sameGrant(range, other); });
   };
   std::erase_if(grants_, [&](const auto& entry) { return !is_wanted(entry.second.range); });
-  const auto room = std::chrono::duration_cast<Duration>((lease_until - now) / config_.clock_drift_factor);
-  const Duration hold = std::chrono::floor<std::chrono::milliseconds>(std::min(config_.grant_hold, room));
+  const auto lease_left = std::chrono::duration_cast<Duration>((lease_until - now) / config_.clock_drift_factor);
+  const Duration hold = std::chrono::floor<std::chrono::milliseconds>(std::min(config_.grant_hold, lease_left));
   if (hold < config_.min_grant) {
     return;
   }
   for (const OwnedRange& range : wanted) {
     Grant& grant = grants_[range.keys.first];
     grant.range = range;
-    if (!grant.in_flight && now >= grant.next) {
+    if (!grant.in_flight && now >= grant.next_send_at) {
       send(grant, hold, now);
     }
   }
@@ -59,7 +59,7 @@
   Grant& grant = found->second;
   grant.in_flight = false;
   if (status != OrderStatus::Done) {
-    grant.next = clock_.now() + config_.order_retry;
+    grant.next_send_at = clock_.now() + config_.order_retry;
     if (status == OrderStatus::Superseded) {
       events_.superseded(grant.range);
     }
@@ -67,7 +67,7 @@
   }
   const bool was_held = grant.held_until > clock_.now();
   grant.held_until = sent + hold;
-  grant.next = sent + hold / kRenewalParts;
+  grant.next_send_at = sent + hold / kRenewalDivisor;
   if (!was_held) {
     events_.newly_held();
   }
--- a/source/core/router/ordered_grants.h
+++ b/source/core/router/ordered_grants.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Grants by orders to the server: sent, renewed, and until when the server holds each range.
+/// Grants keys by commands to the server: sends and renews grants and tracks until when the server holds each range.
 
 #include <map>
 
@@ -18,7 +18,7 @@
   bool isHeld(Key key, TimePoint now) const override;
   /// Nothing to do: a grant that the server has lost is renewed soon.
   void onKeyRefused(Key) override {}
-  /// The server refuses all older grants of the range from then on, also late ones.
+  /// From then on the server refuses all older grants of the range, including delayed ones.
   void release(const OwnedRange& range, ReleaseCallback done) override;
   void clear() override { grants_.clear(); }
 
@@ -26,9 +26,9 @@
   struct Grant {
     OwnedRange range;
     TimePoint held_until{};
-    TimePoint next{};
+    TimePoint next_send_at{};
     bool in_flight = false;
-    /// Numbers sends, so that an answer to an earlier one of a range given up and regained is told apart.
+    /// Distinguishes the current command from earlier ones for a range that was lost and regained.
     std::uint64_t send_number = 0;
   };
 
--- a/source/core/router/owner_table.cc
+++ b/source/core/router/owner_table.cc
@@ -10,7 +10,7 @@
 
 namespace {
 
-/// Tokens of one epoch lie below those of the next. So many are never given out in one.
+/// Tokens of one epoch are lower than those of the next; fewer than 2^32 are used per epoch.
 constexpr unsigned kEpochTokenBits = 32;
 
 }  // namespace
@@ -23,17 +23,17 @@
   ++changes_;
 }
 
-OwnerTable OwnerTable::divideEvenly(const std::vector<OwnerLocation>& places, std::uint32_t ranges_each,
+OwnerTable OwnerTable::divideEvenly(const std::vector<OwnerLocation>& locations, std::uint32_t ranges_each,
                                     StoreEra epoch) {
   OwnerTable table;
   table.beginChange(epoch);
-  const auto count = static_cast<std::uint32_t>(places.size()) * ranges_each;
+  const auto count = static_cast<std::uint32_t>(locations.size()) * ranges_each;
   for (std::uint32_t i = 0; i < count; ++i) {
     OwnedRange range;
     range.keys.first = static_cast<Key>(kKeyCount * i / count);
     range.keys.last = static_cast<Key>(kKeyCount * (i + 1) / count - 1);
-    range.owner = places[i % places.size()].instance;
-    range.node = places[i % places.size()].node;
+    range.owner = locations[i % locations.size()].instance;
+    range.node = locations[i % locations.size()].node;
     range.token = ++table.last_token_;
     table.ranges_.push_back(range);
   }
@@ -85,8 +85,8 @@
 }
 
 std::optional<OwnedRange> OwnerTable::beginRelease(const KeyRange& keys, const InstanceId& owner) {
-  const OwnedRange* holding = find(keys.first);
-  if (holding == nullptr || holding->owner != owner || holding->releasing) {
+  const OwnedRange* containing = find(keys.first);
+  if (containing == nullptr || containing->owner != owner || containing->releasing) {
     return std::nullopt;
   }
   OwnedRange* range = splitOff(keys);
@@ -104,7 +104,7 @@
 }
 
 FenceToken OwnerTable::nextTokenAfter(const OwnedRange& range) {
-  // One above the token is kept for the release.
+  // The token after the current one is reserved for the release.
   last_token_ = std::max(last_token_, range.token + 1) + 1;
   return last_token_;
 }
@@ -134,7 +134,7 @@
 
 namespace {
 
-bool mayJoin(const OwnedRange& left, const OwnedRange& right, const InstanceId& owner) {
+bool canMerge(const OwnedRange& left, const OwnedRange& right, const InstanceId& owner) {
   const bool same = left.owner == owner && right.owner == owner && left.node == right.node;
   return same && !left.releasing && !right.releasing;
 }
@@ -142,18 +142,18 @@
 }  // namespace
 
 bool OwnerTable::hasMergeableRanges(const InstanceId& owner) const {
-  const auto joinable = [&owner](const OwnedRange& left, const OwnedRange& right) {
-    return mayJoin(left, right, owner);
+  const auto mergeable = [&owner](const OwnedRange& left, const OwnedRange& right) {
+    return canMerge(left, right, owner);
   };
-  return std::adjacent_find(ranges_.begin(), ranges_.end(), joinable) != ranges_.end();
+  return std::adjacent_find(ranges_.begin(), ranges_.end(), mergeable) != ranges_.end();
 }
 
 bool OwnerTable::mergeAdjacentRanges(const InstanceId& owner) {
-  bool joined = false;
+  bool merged = false;
   for (std::size_t i = 0; i + 1 < ranges_.size();) {
     OwnedRange& left = ranges_[i];
     const OwnedRange& right = ranges_[i + 1];
-    if (!mayJoin(left, right, owner)) {
+    if (!canMerge(left, right, owner)) {
       ++i;
       continue;
     }
@@ -163,23 +163,23 @@
     left.handover.clear();
     left.rate = 0;
     ranges_.erase(ranges_.begin() + static_cast<std::ptrdiff_t>(i) + 1);
-    joined = true;
+    merged = true;
   }
-  return joined;
+  return merged;
 }
 
 namespace {
 
-/// Owners as a list, so that each range names its owner by a short number.
+/// List of the owners, so that each range refers to its owner by a short number.
 class OwnerList {
  public:
-  /// @return place of the owner in the list, from 1; 0 for nobody.
+  /// @return the number of the owner in the list, from 1; 0 if the range has no owner.
   std::size_t numberOf(const OwnedRange& range) {
     if (range.owner.empty()) {
       return 0;
     }
-    const auto [known, is_new] = numbers_.try_emplace({range.owner, range.node}, numbers_.size() + 1);
-    if (is_new) {
+    const auto [known, inserted] = numbers_.try_emplace({range.owner, range.node}, numbers_.size() + 1);
+    if (inserted) {
       list_.push_back({range.owner.value, range.node.value});
     }
     return known->second;
@@ -194,8 +194,8 @@
 
 }  // namespace
 
-// Many nodes read each change of the table over links that may be slow, so it is written short: a range is a list of
-// its first key, its owner's number, its token, and, where there is more to say, handover, releasing (0 or 1) and rate.
+// Many nodes read every change of the table over links that may be slow, so the format is compact: a range is an array
+// of its first key, its owner's number, its token and, only as far as needed, handover, releasing (0 or 1) and rate.
 std::string OwnerTable::encode() const {
   OwnerList owners;
   json list = json::array();
@@ -222,7 +222,7 @@
 
 namespace {
 
-OwnedRange rangeFrom(const json& entry, const std::vector<OwnerLocation>& owners) {
+OwnedRange decodeRange(const json& entry, const std::vector<OwnerLocation>& owners) {
   constexpr std::size_t kHandover = 3;
   constexpr std::size_t kReleasing = 4;
   constexpr std::size_t kRate = 5;
@@ -241,8 +241,8 @@
   return range;
 }
 
-/// Each range ends where the next begins.
-Findings closeRanges(std::vector<OwnedRange>& ranges) {
+/// Sets the last key of each range to the one before the next range.
+Findings setRangeEnds(std::vector<OwnedRange>& ranges) {
   Findings findings;
   if (ranges.empty() || ranges.front().keys.first != 0) {
     findings.add("ranges", "must begin with key 0");
@@ -273,14 +273,14 @@
       owners.push_back({InstanceId(owner.at(0).get<std::string>()), NodeName(owner.at(1).get<std::string>())});
     }
     for (const json& entry : document.at("ranges")) {
-      table.ranges_.push_back(rangeFrom(entry, owners));
+      table.ranges_.push_back(decodeRange(entry, owners));
     }
   } catch (const std::exception& error) {
     Findings findings;
     findings.add("owner table", error.what());
     return leaf::new_error(std::move(findings));
   }
-  Findings findings = closeRanges(table.ranges_);
+  Findings findings = setRangeEnds(table.ranges_);
   if (!findings.empty()) {
     return leaf::new_error(std::move(findings));
   }
--- a/source/core/router/owner_table.h
+++ b/source/core/router/owner_table.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Who owns which keys of one service: the value of one object in the metadata store. Every change is one
-/// conditional write of the whole table.
+/// The owner table of one service: which server owns which keys. It is the value of one object in the metadata store,
+/// and every change is one conditional write of the whole table.
 
 #include <cstdint>
 #include <optional>
@@ -15,12 +15,12 @@
 
 namespace shedlever {
 
-/// A fencing token. Rises over the whole table; a server that has seen one for a key refuses all lower ones.
+/// A fencing token. Tokens increase over the whole table; a server that has seen one for a key refuses all lower ones.
 using FenceToken = std::uint64_t;
 
 struct KeyRange {
   Key first = 0;
-  Key last = 0;  ///< included
+  Key last = 0;  ///< inclusive
 
   bool contains(Key key) const { return first <= key && key <= last; }
   std::uint32_t size() const { return static_cast<std::uint32_t>(last) - first + 1; }
@@ -29,94 +29,94 @@
 
 struct OwnedRange {
   KeyRange keys;
-  /// Empty: nobody owns the range.
+  /// Empty: no owner.
   InstanceId owner;
-  /// Where the owner runs.
+  /// The node at which the owner runs.
   NodeName node;
-  /// The owner's token, or the last one used when nobody owns the range.
+  /// The owner's token, or the last one used if the range has no owner.
   FenceToken token = 0;
-  /// What the last owner gave when it let go; empty when it could not be asked.
+  /// State that the previous owner returned on release; empty if it could not be asked.
   std::string handover;
-  /// The owner is about to let go: its server was, or will be, told to with `token` + 1, and no owner after it gets
-  /// a token that is not above that.
+  /// The owner is about to release the range: its server was or will be asked to with `token` + 1, and the next owner
+  /// gets a higher token than that.
   bool releasing = false;
-  /// Requests a second that the last owner saw for these keys when it gave them; 0 where that is not known.
+  /// Requests per second that the previous owner measured for these keys when it released them; 0 if unknown.
   std::uint32_t rate = 0;
 
   auto operator<=>(const OwnedRange&) const = default;
 };
 
-/// A server that may own keys.
+/// A server that may own keys, and its node.
 struct OwnerLocation {
   InstanceId instance;
   NodeName node;
   auto operator<=>(const OwnerLocation&) const = default;
 };
 
-/// A value; changes are made on a copy and written under the revision that it was read at.
+/// Value type; changes are made on a copy, which is written on condition that the revision read is still current.
 class OwnerTable {
  public:
   OwnerTable() = default;
 
-  /// @param places not empty. @param ranges_each that each of them gets, in turn with the others.
-  /// @param epoch of the store that it is written in.
-  /// @return a first table that divides all keys evenly.
-  static OwnerTable divideEvenly(const std::vector<OwnerLocation>& places, std::uint32_t ranges_each = 1,
+  /// @param locations must not be empty.
+  /// @param ranges_each ranges per server; the servers take turns.
+  /// @param epoch of the store in which the table is written.
+  /// @return an initial table that divides all keys evenly.
+  static OwnerTable divideEvenly(const std::vector<OwnerLocation>& locations, std::uint32_t ranges_each = 1,
                                  StoreEra epoch = 0);
 
-  /// Begins the next change, in that epoch of the store. The tokens of a later epoch are above all of an earlier one,
-  /// also above those of changes that the store has lost.
+  /// Starts the next change, in the given epoch of the store. Tokens of a later epoch are higher than all tokens of
+  /// earlier epochs, including those of changes that the store has lost.
   void beginChange(StoreEra epoch);
 
-  /// @return the epoch in which it was changed last.
+  /// @return the epoch of the last change.
   StoreEra epoch() const { return epoch_; }
-  /// @return whether it has had changes that the other one has not: tables of one epoch follow each other in one line,
-  /// and
-  ///   what was changed in a later epoch stands above all of an earlier one.
+  /// @return whether this table has changes that `other` lacks. Within one epoch the changes form a single sequence;
+  ///   changes of a later epoch supersede all earlier ones.
   bool isNewerThan(const OwnerTable& other) const {
     return std::tie(epoch_, changes_) > std::tie(other.epoch_, other.changes_);
   }
 
-  /// @return the range of the key; null in an empty table.
+  /// @return the range that contains the key; null in an empty table.
   const OwnedRange* find(Key key) const;
 
   /// Sorted, without gaps.
   const std::vector<OwnedRange>& ranges() const { return ranges_; }
   FenceToken lastToken() const { return last_token_; }
 
-  /// @return ranges of that owner.
+  /// @return the owner's ranges.
   std::vector<OwnedRange> ownedBy(const InstanceId& owner) const;
 
   /// @return ranges whose owner runs, or ran, at the node.
   std::vector<OwnedRange> ownedAt(const NodeName& node) const;
 
-  /// Splits the range that holds all of `keys` so that they are a range of their own, under the same owner and token.
-  /// @return that range; null when no single range holds them all.
+  /// Splits the range that contains all of `keys`, so that they form a range with the same owner and token.
+  /// @return that range; null if no single range contains them all.
   OwnedRange* splitOff(const KeyRange& keys);
 
-  /// Marks keys of one range that its owner is about to release; splits the range if they are a part of it.
-  /// @return the marked range; none when `keys` lie in no single range of `owner` that is not releasing already.
+  /// Marks keys of one range as about to be released by their owner; splits the range if needed.
+  /// @return the marked range; none unless one range of `owner` that is not being released contains all of `keys`.
   std::optional<OwnedRange> beginRelease(const KeyRange& keys, const InstanceId& owner);
 
-  /// Takes the mark back: the owner keeps the range under a new token.
+  /// Removes the mark; the owner keeps the range under a new token.
   void abortRelease(const KeyRange& keys);
 
-  /// Gives exactly this range to an owner with a token above all that its owners had.
-  /// @param rate requests a second that are to be expected for it; 0: not known.
-  /// @return false when the table holds no such range.
-  bool assign(const KeyRange& keys, const OwnerLocation& place, const std::string& handover, std::uint32_t rate = 0);
+  /// Assigns exactly this range to an owner, with a token higher than those of all earlier owners.
+  /// @param rate expected requests per second; 0: unknown.
+  /// @return false if the table has no such range.
+  bool assign(const KeyRange& keys, const OwnerLocation& location, const std::string& handover, std::uint32_t rate = 0);
 
-  /// @return whether `mergeAdjacentRanges` would join anything.
+  /// @return whether `mergeAdjacentRanges` would merge anything.
   bool hasMergeableRanges(const InstanceId& owner) const;
 
-  /// Joins neighbours of one owner under a new token, where neither is releasing.
-  /// @return whether anything was joined.
+  /// Merges adjacent ranges of the owner under a new token; ranges that are being released are skipped.
+  /// @return whether any ranges were merged.
   bool mergeAdjacentRanges(const InstanceId& owner);
 
   /// @return JSON text.
   std::string encode() const;
 
-  /// @return the table, or Findings with what is wrong.
+  /// @return the table, or Findings that describe the errors.
   static leaf::result<OwnerTable> decode(const std::string& text);
 
   bool operator==(const OwnerTable&) const = default;
@@ -128,7 +128,7 @@
   std::vector<OwnedRange> ranges_;
   FenceToken last_token_ = 0;
   StoreEra epoch_ = 0;
-  /// Rises with each change that is written.
+  /// Incremented with each change.
   std::uint64_t changes_ = 0;
 };
 
--- a/source/core/router/owner_view.h
+++ b/source/core/router/owner_view.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Who owns a key, as far as this process knows: the owner table, and hints from a newer one.
+/// Looks up the owner of a key in the owner table and in hints from newer tables.
 
 #include <map>
 
@@ -10,29 +10,30 @@
 
 namespace shedlever {
 
-/// What a request for a key needs to know.
+/// The owner of a key, as a request for the key needs it.
 struct KeyOwner {
-  /// Empty: nobody, or not known.
+  /// Empty: no owner, or unknown.
   InstanceId instance;
   NodeName node;
-  /// Owner table, or hint, that says so; 0 when nothing is known.
+  /// Revision of the owner table or hint; 0 if nothing is known.
   StoreRevision revision;
 };
 
-/// Hints make a moved key found at once by who asks its old owner, however late the table itself is read.
+/// Hints let a process that contacted the old owner of a moved key find the new one at once, before it reads the new
+/// table.
 class OwnerView {
  public:
-  /// Takes a hint; one that is not newer than the table, or than another for its keys, is ignored.
-  /// @param table_revision of the table that `find` will be asked with.
+  /// Adds a hint; ignored if it is not newer than the table or is older than a hint for any of its keys.
+  /// @param table_revision revision of the table that is passed to `find`.
   void addHint(const OwnerHint& hint, StoreRevision table_revision);
 
-  /// @param table newest table read.
+  /// @param table the newest table read.
   KeyOwner find(Key key, const OwnerTable& table, StoreRevision table_revision);
 
  private:
   void dropHintsUpTo(StoreRevision revision);
 
-  /// By first key; they don't overlap.
+  /// By first key, without overlaps.
   std::map<Key, OwnerHint> hints_;
 };
 
--- a/source/core/router/ownership_config.h
+++ b/source/core/router/ownership_config.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Times that ownership of keys rests on.
+/// Timing and limits of key ownership.
 
 #include <cstdint>
 
@@ -9,62 +9,64 @@
 
 namespace shedlever {
 
-/// How servers take their keys.
+/// How grants reach a server.
 enum class GrantDelivery : std::uint8_t {
-  Request,    ///< by requests to the server
+  Request,    ///< by commands to the server
   Heartbeat,  ///< in the acknowledgements of its heartbeats
 };
 
 struct OwnershipConfig {
   GrantDelivery grant_delivery = GrantDelivery::Request;
-  /// How long a node owns what the table gives it after it sent a renewal that succeeded.
+  /// How long a node owns its ranges in the table after it sent a successful renewal.
   Duration lease = std::chrono::seconds(10);
   Duration lease_renewal = std::chrono::milliseconds(2500);
-  /// After a renewal without success.
+  /// Delay after a failed renewal.
   Duration lease_retry = std::chrono::milliseconds(300);
-  /// How much longer than the lease a challenger waits, for clocks that run apart.
+  /// Added to the lease before another node revokes it, to allow for clock differences.
   Duration lease_margin = std::chrono::milliseconds(500);
-  /// How long a grant by request lasts.
+  /// Duration of a grant by command.
   Duration grant_hold = std::chrono::seconds(2);
-  /// How long a grant by heartbeat lasts: three heartbeats of 1.3 s.
+  /// Duration of a grant by heartbeat: three heartbeats of 1.3 s.
   Duration heartbeat_hold = std::chrono::seconds(4);
-  /// How long the acknowledgement of a heartbeat waits for keys to come or go. The server takes none after 1 s.
+  /// Longest time for which the acknowledgement of a heartbeat is held back until keys change. The server ignores
+  /// acknowledgements after 1 s.
   Duration heartbeat_wait = std::chrono::milliseconds(600);
-  /// Shortest grant worth sending.
+  /// Shorter grants are not sent.
   Duration min_grant = std::chrono::milliseconds(200);
-  /// Servers' clocks may count a grant this much longer.
+  /// Largest factor by which a server's clock may stretch a grant.
   double clock_drift_factor = 1.02;
-  /// After a grant or release without an answer.
+  /// Delay after a failed grant command.
   Duration order_retry = std::chrono::milliseconds(50);
-  /// Ranges of each server after the first division, taking turns: keys that are asked for often lie close together.
+  /// Ranges per server in the initial table. The servers take turns, because frequently requested keys lie close
+  /// together.
   std::uint32_t initial_ranges_per_server = 4;
-  /// But not more in all, so that the tables of large services stay small.
+  /// Limit for all servers together, so that the tables of large services stay small.
   std::uint32_t max_initial_ranges = 32;
-  /// Before the first division, for other servers to show up.
+  /// Time for other servers to appear before the initial table is created.
   Duration first_division_delay = std::chrono::milliseconds(1500);
-  /// Further wait of each node after the first, in order of names, before it does what one node should do.
+  /// Added per rank of the node, in order of names, before an action that one node should take.
   Duration rank_delay = std::chrono::milliseconds(700);
-  /// After the store has come back from a copy: between what two nodes, in order of names, do about its table.
+  /// Added per rank of the node, in order of names, before it reads or changes the table of a restored store.
   Duration restore_step = std::chrono::milliseconds(10);
-  /// A node that can't be reached for so long is suspected.
+  /// A node that has been unreachable for this long is suspected to have failed.
   Duration suspicion = std::chrono::seconds(1);
-  /// A longer gap between two ticks means that this process stood still.
+  /// A longer gap between two ticks means that this process was paused.
   Duration pause_limit = std::chrono::milliseconds(1000);
-  /// Between two decisions about balance.
+  /// Time between two balancing decisions.
   Duration balance_interval = std::chrono::milliseconds(500);
-  /// After moves, until what others tell of their work shows them.
+  /// Pause after moves, until the load that others report reflects them.
   Duration balance_settle = std::chrono::milliseconds(1000);
-  /// How long keys stay with an owner that has just got them, until it has seen where their work lies.
+  /// How long gained keys stay with their new owner, until it has measured their load.
   Duration gain_settle = std::chrono::seconds(3);
-  /// Share of its slots that an owner's work asks for, below which it keeps its keys.
+  /// Utilization below which an owner keeps its keys.
   double busy_occupancy = 0.6;
-  /// How far above the average of all servers, as a share of its slots, an owner's work must be for a move.
+  /// Difference to the mean utilization of all servers from which an owner moves keys.
   double occupancy_gap = 0.15;
-  /// Share of failed requests above which an owner's server is not trusted with keys ...
+  /// Ratio of failed requests from which an owner moves its keys away ...
   double failing_share = 0.4;
-  /// ... if it is so much above that of the servers that could take them.
+  /// ... to servers whose ratio is lower by at least this.
   double failing_gap = 0.3;
-  /// Ranges of one owner above which neighbours are joined.
+  /// Number of ranges of one owner above which adjacent ranges are merged.
   std::size_t max_ranges_per_owner = 6;
 };
 
--- a/source/core/router/ownership_fields.h
+++ b/source/core/router/ownership_fields.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Names of the times and numbers that ownership rests on, as settings and experiments give them.
+/// Names of the durations and shares in OwnershipConfig, as used by settings and experiments.
 
 #include <span>
 #include <string_view>
--- a/source/core/router/ownership_keeper.cc
+++ b/source/core/router/ownership_keeper.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-/// Hot keys change within seconds.
-constexpr Duration kWorkHalfLife = std::chrono::seconds(1);
+/// Short, because the most requested keys change within seconds.
+constexpr Duration kLoadHalfLife = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -27,8 +27,8 @@
               }),
       lease_(self_, config_, *ports_.store, *ports_.clock, [this] { onLeaseRevoked(); }),
       takeover_(config_, *ports_.store, *ports_.clock, [this](const NodeName& node) { takeOverRanges(node); }),
-      meter_(kWorkHalfLife),
-      gains_(kWorkHalfLife),
+      meter_(kLoadHalfLife),
+      gains_(kLoadHalfLife),
       planner_(meter_, config_),
       moves_(movePorts()) {
   if (config_.grant_delivery == GrantDelivery::Heartbeat) {
@@ -62,11 +62,11 @@
 GrantChannel::Events OwnershipManager::grantEvents() {
   GrantChannel::Events events;
   events.superseded = [this](const OwnedRange& range) {
-    const OwnerLocation place{instance_, self_.name};
-    queueChange("token raised", [keys = range.keys, token = range.token, place](OwnerTable& table) {
+    const OwnerLocation location{instance_, self_.name};
+    queueChange("token raised", [keys = range.keys, token = range.token, location](OwnerTable& table) {
       const OwnedRange* now = table.find(keys.first);
-      return now != nullptr && now->keys == keys && now->token == token && now->owner == place.instance &&
-             !now->releasing && table.assign(keys, place, now->handover);
+      return now != nullptr && now->keys == keys && now->token == token && now->owner == location.instance &&
+             !now->releasing && table.assign(keys, location, now->handover);
     });
   };
   events.server_gone = [this] { ports_.on_server_gone(); };
@@ -138,7 +138,7 @@
     return resumable(report);
   }
   std::vector<OwnedRange> ranges = grantable();
-  // A release that an earlier process began and the server has not heard of is about to be taken back.
+  // A release that was begun by an earlier process and not yet sent to the server is about to be aborted.
   for (const OwnedRange& range : writer_.table().ownedBy(instance_)) {
     const ReportedRange same{range.keys.first, range.keys.last, range.token};
     const bool still_held = std::find(report.held.begin(), report.held.end(), same) != report.held.end();
@@ -149,19 +149,19 @@
   return ranges;
 }
 
-/// What the server holds was not given away by this node's earlier process, since that waits for the server to let go,
-/// nor by another node while the earlier process's lease lasts.
+/// The server still holds these keys, so this node's previous process did not move them away, because that requires
+/// their release. Other nodes could not take them while the previous process's lease was valid.
 std::vector<OwnedRange> OwnershipManager::resumable(const KeyReport& report) const {
   std::vector<OwnedRange> ranges;
   if (!hasServer() || must_confirm_) {
     return ranges;
   }
   for (const ReportedRange& held : report.held) {
-    const auto is_others = [&](const OwnedRange& range) {
+    const auto is_owned_by_other = [&](const OwnedRange& range) {
       return range.keys.first <= held.last && held.first <= range.keys.last && range.owner != instance_;
     };
     const std::vector<OwnedRange>& known = writer_.table().ranges();
-    if (std::none_of(known.begin(), known.end(), is_others)) {
+    if (std::none_of(known.begin(), known.end(), is_owned_by_other)) {
       OwnedRange range;
       range.keys = {held.first, held.last};
       range.owner = instance_;
@@ -180,8 +180,8 @@
 }
 
 bool OwnershipManager::wouldChange(const KeyReport& report) const {
-  const bool may_tell = hasServer() && !must_confirm_ && lease_.valid(ports_.clock->now());
-  return heartbeat_grants_ != nullptr && may_tell && heartbeat_grants_->wouldChange(assignable(report), report);
+  const bool may_assign = hasServer() && !must_confirm_ && lease_.valid(ports_.clock->now());
+  return heartbeat_grants_ != nullptr && may_assign && heartbeat_grants_->wouldChange(assignable(report), report);
 }
 
 std::optional<KeyAssignment> OwnershipManager::assign(const KeyReport& report, TimePoint received) {
@@ -203,7 +203,7 @@
   if (!hasServer() || (!is_own && tableIsRead())) {
     return KeyState::OwnedElsewhere;
   }
-  // Also while the range is being released, until the server has been told so.
+  // A range that is being released is served until the server has been asked to release it.
   if (!must_confirm_ && lease_.valid(now) && grants_->isHeld(key, now)) {
     return KeyState::Held;
   }
@@ -215,9 +215,9 @@
 
 OwnerHint OwnershipManager::hintFor(Key key) const {
   const OwnedRange* range = writer_.table().find(key);
-  // Who asked for an earlier life of this node's server is told the present one.
-  const bool earlier_life = range != nullptr && range->node == self_.name && range->owner != instance_;
-  if (range == nullptr || range->owner.empty() || earlier_life) {
+  // A request for an earlier instance of this node's server gets no hint until the table names the present one.
+  const bool is_earlier_instance = range != nullptr && range->node == self_.name && range->owner != instance_;
+  if (range == nullptr || range->owner.empty() || is_earlier_instance) {
     return {};
   }
   return {writer_.revision(), range->keys.first, range->keys.last, range->owner, range->node};
@@ -233,30 +233,30 @@
   std::erase_if(ready, [&](const NodeRecord* record) {
     return record->node == self_.name || !ports_.directory->isConfirmedReachable(record->node);
   });
-  // Servers at which requests fail are taken only where there are no others.
-  const auto is_sound = [&](const NodeRecord* record) {
+  // Servers with a high failure ratio are used only if there are no others.
+  const auto is_healthy = [&](const NodeRecord* record) {
     return ports_.directory->failureRatio(record->node, now) < config_.failing_share;
   };
-  if (std::any_of(ready.begin(), ready.end(), is_sound)) {
-    std::erase_if(ready, [&](const NodeRecord* record) { return !is_sound(record); });
+  if (std::any_of(ready.begin(), ready.end(), is_healthy)) {
+    std::erase_if(ready, [&](const NodeRecord* record) { return !is_healthy(record); });
   }
-  struct Loaded {
-    OwnerLocation place;
+  struct Candidate {
+    OwnerLocation location;
     double load;
   };
-  std::vector<Loaded> loaded;
+  std::vector<Candidate> candidates;
   for (const NodeRecord* record : ready) {
-    const OwnerLocation place{record->instance, record->node};
-    loaded.push_back({place, loadOf(place, now)});
+    const OwnerLocation location{record->instance, record->node};
+    candidates.push_back({location, loadOf(location, now)});
   }
-  std::stable_sort(loaded.begin(), loaded.end(),
-                   [](const Loaded& left, const Loaded& right) { return left.load < right.load; });
-  std::vector<OwnerLocation> places;
-  places.reserve(loaded.size());
-  for (const Loaded& entry : loaded) {
-    places.push_back(entry.place);
+  std::stable_sort(candidates.begin(), candidates.end(),
+                   [](const Candidate& left, const Candidate& right) { return left.load < right.load; });
+  std::vector<OwnerLocation> locations;
+  locations.reserve(candidates.size());
+  for (const Candidate& candidate : candidates) {
+    locations.push_back(candidate.location);
   }
-  return places;
+  return locations;
 }
 
 std::size_t OwnershipManager::rank() const {
@@ -278,15 +278,15 @@
 
 void OwnershipManager::queueTransfer(const std::string& what, const std::vector<OwnerLocation>& to,
                                      TableWriter::Edit edit, std::function<void(bool)> done) {
-  std::set<NodeName> gainers;
-  for (const OwnerLocation& place : to) {
-    if (place.node != self_.name) {
-      gainers.insert(place.node);
+  std::set<NodeName> recipients;
+  for (const OwnerLocation& location : to) {
+    if (location.node != self_.name) {
+      recipients.insert(location.node);
     }
   }
-  queueChange(what, std::move(edit), [this, gainers, done = std::move(done)](bool written) {
+  queueChange(what, std::move(edit), [this, recipients, done = std::move(done)](bool written) {
     if (written && ports_.on_keys_transferred) {
-      ports_.on_keys_transferred({ownerTableName(service_), writer_.revision(), writer_.table().encode()}, gainers);
+      ports_.on_keys_transferred({ownerTableName(service_), writer_.revision(), writer_.table().encode()}, recipients);
     }
     if (done) {
       done(written);
@@ -300,7 +300,7 @@
   }
   last_tick_ = now;
   if (writer_.awaitsRestore()) {
-    // The turn hangs on who else is there.
+    // The rank depends on which other nodes are available.
     writer_.setRestoreDelays(restoreDelays());
   }
   writer_.tick(now);
@@ -325,7 +325,7 @@
   }
   checkUnreachableOwners(now);
   if (!change_pending_ && moves_.empty() && hasServer() && lease_.valid(now)) {
-    if (givesKeysAway() || serverGrantsLapsed(now)) {
+    if (movesKeysAway() || serverGrantsLapsed(now)) {
       moveAllRanges(targets(now), now);
     } else {
       balance(now);
@@ -336,27 +336,27 @@
 TableWriter::RestoreDelays OwnershipManager::restoreDelays() const {
   const Duration hold =
       config_.grant_delivery == GrantDelivery::Heartbeat ? config_.heartbeat_hold : config_.grant_hold;
-  const auto as_servers_count = std::chrono::duration_cast<Duration>(hold * config_.clock_drift_factor);
-  const Duration turn = config_.restore_step * static_cast<int>(rank());
-  return {turn, as_servers_count + config_.lease_margin + turn};
+  const auto max_hold = std::chrono::duration_cast<Duration>(hold * config_.clock_drift_factor);
+  const Duration rank_wait = config_.restore_step * static_cast<int>(rank());
+  return {rank_wait, max_hold + config_.lease_margin + rank_wait};
 }
 
 void OwnershipManager::createInitialTable(TimePoint now) {
-  if (!writer_.known() || !hasServer() || givesKeysAway()) {
+  if (!writer_.known() || !hasServer() || movesKeysAway()) {
     return;
   }
   const Duration delay = config_.first_division_delay + config_.rank_delay * static_cast<int>(rank());
   if (now - server_since_ < delay) {
     return;
   }
-  std::vector<OwnerLocation> places;
+  std::vector<OwnerLocation> locations;
   for (const NodeRecord* record : ports_.directory->availableServers(service_)) {
-    places.push_back({record->instance, record->node});
+    locations.push_back({record->instance, record->node});
   }
-  if (!places.empty()) {
-    const auto each = config_.max_initial_ranges / static_cast<std::uint32_t>(places.size());
-    writer_.create(
-        OwnerTable::divideEvenly(places, std::clamp(each, 1U, config_.initial_ranges_per_server), ports_.store->era()));
+  if (!locations.empty()) {
+    const auto ranges_each = config_.max_initial_ranges / static_cast<std::uint32_t>(locations.size());
+    writer_.create(OwnerTable::divideEvenly(locations, std::clamp(ranges_each, 1U, config_.initial_ranges_per_server),
+                                            ports_.store->era()));
   }
 }
 
@@ -374,14 +374,14 @@
     return;
   }
   const auto owned = writer_.table().ownedAt(self_.name);
-  const auto is_left = [this](const OwnedRange& range) {
-    const bool older_life = hasServer() && range.owner != instance_;
-    return older_life || (range.owner == instance_ && range.releasing && moves_.empty());
+  const auto needs_reclaim = [this](const OwnedRange& range) {
+    const bool from_earlier_instance = hasServer() && range.owner != instance_;
+    return from_earlier_instance || (range.owner == instance_ && range.releasing && moves_.empty());
   };
-  if (!hasServer() || std::none_of(owned.begin(), owned.end(), is_left)) {
+  if (!hasServer() || std::none_of(owned.begin(), owned.end(), needs_reclaim)) {
     return;
   }
-  queueChange("ranges of an earlier life taken up", [self](OwnerTable& table) {
+  queueChange("ranges of an earlier instance reclaimed", [self](OwnerTable& table) {
     bool changed = false;
     for (const OwnedRange& range : table.ownedAt(self.node)) {
       if (range.owner != self.instance) {
@@ -410,10 +410,10 @@
   }
   std::vector<KeyRange> pieces;
   for (const OwnedRange& range : owned) {
-    const auto runs = meter_.split(range.keys, to.size(), now);
-    pieces.insert(pieces.end(), runs.begin(), runs.end());
+    const auto parts = meter_.split(range.keys, to.size(), now);
+    pieces.insert(pieces.end(), parts.begin(), parts.end());
   }
-  queueTransfer("dead server's ranges given away", to, [pieces, to, dead = dead_instance_](OwnerTable& table) {
+  queueTransfer("ranges of dead server reassigned", to, [pieces, to, dead = dead_instance_](OwnerTable& table) {
     bool changed = false;
     for (std::size_t i = 0; i < pieces.size(); ++i) {
       const OwnedRange* range = table.find(pieces[i].first);
@@ -427,7 +427,7 @@
 
 void OwnershipManager::checkUnreachableOwners(TimePoint now) {
   std::set<NodeName> suspects;
-  if (hasServer() && lease_.valid(now) && !givesKeysAway()) {
+  if (hasServer() && lease_.valid(now) && !movesKeysAway()) {
     for (const OwnedRange& range : writer_.table().ranges()) {
       if (range.node != self_.name && ports_.directory->isUnreachable(range.node)) {
         suspects.insert(range.node);
@@ -441,10 +441,10 @@
   const TimePoint now = ports_.clock->now();
   std::vector<OwnerLocation> to = targets(now);
   to.push_back({instance_, self_.name});
-  std::erase_if(to, [&](const OwnerLocation& place) { return place.node == node; });
-  // Only what the node owned when its lease was revoked: it may have confirmed its ranges since.
+  std::erase_if(to, [&](const OwnerLocation& location) { return location.node == node; });
+  // Only ranges that the node owned when its lease was revoked; it may have confirmed its ranges since.
   const std::vector<OwnedRange> lost = writer_.table().ownedAt(node);
-  queueTransfer("ranges taken from " + node.value, to, [to, lost](OwnerTable& table) {
+  queueTransfer("ranges taken over from " + node.value, to, [to, lost](OwnerTable& table) {
     bool changed = false;
     for (std::size_t i = 0; i < lost.size(); ++i) {
       const OwnedRange* range = table.find(lost[i].keys.first);
@@ -460,11 +460,11 @@
   if (failure_ratio_ < config_.failing_share) {
     return {};
   }
-  std::vector<OwnerLocation> sounder = targets(now);
-  std::erase_if(sounder, [&](const OwnerLocation& place) {
-    return ports_.directory->failureRatio(place.node, now) > failure_ratio_ - config_.failing_gap;
+  std::vector<OwnerLocation> healthier = targets(now);
+  std::erase_if(healthier, [&](const OwnerLocation& location) {
+    return ports_.directory->failureRatio(location.node, now) > failure_ratio_ - config_.failing_gap;
   });
-  return sounder;
+  return healthier;
 }
 
 void OwnershipManager::moveAllRanges(const std::vector<OwnerLocation>& to, TimePoint now) {
@@ -473,8 +473,8 @@
   }
   std::vector<KeyRange> pieces;
   for (const OwnedRange& range : writer_.table().ownedBy(instance_)) {
-    const auto runs = meter_.split(range.keys, to.size(), now);
-    pieces.insert(pieces.end(), runs.begin(), runs.end());
+    const auto parts = meter_.split(range.keys, to.size(), now);
+    pieces.insert(pieces.end(), parts.begin(), parts.end());
   }
   if (!pieces.empty()) {
     moves_.start({instance_, self_.name}, pieces, to);
@@ -486,8 +486,8 @@
     return;
   }
   next_balance_ = now + config_.balance_interval;
-  if (const std::vector<OwnerLocation> sounder = healthierTargets(now); !sounder.empty()) {
-    moveAllRanges(sounder, now);
+  if (const std::vector<OwnerLocation> healthier = healthierTargets(now); !healthier.empty()) {
+    moveAllRanges(healthier, now);
     return;
   }
   const std::vector<OwnedRange> owned = writer_.table().ownedBy(instance_);
@@ -495,7 +495,7 @@
     mergeRanges();
     return;
   }
-  const std::vector<PlannedMove> moves = planner_.plan(balanceView(owned, now), now);
+  const std::vector<PlannedMove> moves = planner_.plan(balanceInput(owned, now), now);
   if (moves.empty()) {
     return;
   }
@@ -508,42 +508,43 @@
   moves_.start({instance_, self_.name}, pieces, to);
 }
 
-BalanceInput OwnershipManager::balanceView(const std::vector<OwnedRange>& owned, TimePoint now) const {
+BalanceInput OwnershipManager::balanceInput(const std::vector<OwnedRange>& owned, TimePoint now) const {
   constexpr double kHundredths = 100.0;
   constexpr double kMilliseconds = 1000.0;
-  BalanceInput view;
-  view.owned = owned;
-  // Where the work lies in ranges that came a moment ago is not known yet.
-  std::erase_if(view.owned,
+  BalanceInput input;
+  input.owned = owned;
+  // The load on the keys of recently gained ranges is not known yet.
+  std::erase_if(input.owned,
                 [&](const OwnedRange& range) { return gains_.gainedWithin(config_.gain_settle, range.keys, now); });
-  view.own_load = offered_load_;
-  for (const OwnerLocation& place : targets(now)) {
-    const ServerLoad* load = ports_.directory->load(place.node, now);
-    const bool owns = !writer_.table().ownedBy(place.instance).empty();
-    // A server that this node has sent nothing to of late is asked for little.
-    OfferedLoad work{0, offered_load_.slots, offered_load_.service_seconds};
-    if (load != nullptr && load->slots > 0) {
-      work.slots = load->slots;
-      work.demand = owns ? load->demand_hundredths / kHundredths : 0.0;
-      work.service_seconds = load->service_ms / kMilliseconds;
+  input.own_load = offered_load_;
+  for (const OwnerLocation& location : targets(now)) {
+    const ServerLoad* reported = ports_.directory->load(location.node, now);
+    const bool owns = !writer_.table().ownedBy(location.instance).empty();
+    // Without a recent load report little load is assumed.
+    OfferedLoad offered{0, offered_load_.slots, offered_load_.service_seconds};
+    if (reported != nullptr && reported->slots > 0) {
+      offered.slots = reported->slots;
+      offered.demand = owns ? reported->demand_hundredths / kHundredths : 0.0;
+      offered.service_seconds = reported->service_ms / kMilliseconds;
     }
-    view.targets.push_back({place, work});
+    input.targets.push_back({location, offered});
   }
-  return view;
+  return input;
 }
 
 std::uint32_t OwnershipManager::rateOf(const KeyRange& keys, TimePoint now) const {
   return static_cast<std::uint32_t>(std::lround(std::max(meter_.rate(keys, now), 0.0)));
 }
 
-double OwnershipManager::loadOf(const OwnerLocation& place, TimePoint now) const {
-  // A server without keys is idle, whatever its last replies said.
-  const bool owns = !writer_.table().ownedBy(place.instance).empty();
-  return owns ? ports_.directory->occupancy(place.node, now) : 0.0;
+double OwnershipManager::loadOf(const OwnerLocation& location, TimePoint now) const {
+  // A server without keys is considered idle, whatever it reported last.
+  const bool owns = !writer_.table().ownedBy(location.instance).empty();
+  return owns ? ports_.directory->occupancy(location.node, now) : 0.0;
 }
 
 void OwnershipManager::mergeRanges() {
-  queueChange("neighbours joined", [owner = instance_](OwnerTable& table) { return table.mergeAdjacentRanges(owner); });
+  queueChange("adjacent ranges merged",
+              [owner = instance_](OwnerTable& table) { return table.mergeAdjacentRanges(owner); });
 }
 
 }  // namespace shedlever
--- a/source/core/router/ownership_keeper.h
+++ b/source/core/router/ownership_keeper.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Ownership of keys as one node sees it: what the server beside it holds, and the changes of the owner table that
-/// this node makes. No node leads: each change is one conditional write.
+/// Key ownership at one node: what the node's server holds, and the changes that this node makes to the owner table.
+/// There is no leader; each change is one conditional write.
 
 #include <functional>
 #include <memory>
@@ -25,36 +25,36 @@
 
 namespace shedlever {
 
-/// What a node may do with a request for a key.
+/// State of a key at a node: what the node may do with a request for it.
 enum class KeyState : std::uint8_t {
-  Held,            ///< begin it
-  Pending,         ///< the key is this server's; its grant is under way
-  Moving,          ///< on its way from this server to another
-  OwnedElsewhere,  ///< another's
+  Held,            ///< start the request
+  Pending,         ///< owned by this server; the grant is not confirmed yet
+  Moving,          ///< being moved from this server to another
+  OwnedElsewhere,  ///< owned by another server
 };
 
-/// Decision about ownership, for the log.
+/// A decision about ownership, for the log.
 struct OwnershipEvent {
   std::string what;
   std::string detail;
 };
 
-/// What the keeper uses and tells; everything outlives it.
+/// Dependencies and callbacks; all must outlive the manager.
 struct OwnershipPorts {
   MetadataStore* store = nullptr;
   ServerOrders* orders = nullptr;
   const Clock* clock = nullptr;
   ServerDirectory* directory = nullptr;
-  /// The owner table changed, or a range is newly held: requests that wait for their owner may go on.
+  /// The owner table changed or a range is newly held: requests that wait for their owner may proceed.
   std::function<void()> on_change;
-  /// @return whether the store itself has told the owner table since this process started. What other processes tell
-  /// may be older than the last change of this node's process before this one.
+  /// @return whether the owner table has been read from the store since this process started. Tables from other
+  ///   processes may be older than the last change by this node's previous process.
   std::function<bool()> table_read;
   /// Nothing listens at the server's address.
   std::function<void()> on_server_gone;
   std::function<void(const OwnershipEvent&)> on_event;
-  /// A table was written that gives keys to these nodes: they should hear of it at once.
-  std::function<void(const MetadataObject& table, const std::set<NodeName>& gainers)> on_keys_transferred;
+  /// A table was written that transfers keys to these nodes; they should receive it at once.
+  std::function<void(const MetadataObject& table, const std::set<NodeName>& recipients)> on_keys_transferred;
 };
 
 class OwnershipManager {
@@ -63,61 +63,61 @@
 
   /// A server runs beside this node.
   void serverUp(const InstanceId& instance, TimePoint now);
-  /// It is dead for sure: its keys may go to others at once.
+  /// The server has ended for certain; its keys may be reassigned at once.
   void serverDead();
-  /// The lease of this node's process before this one, as others know it.
+  /// Takes over the lease of this node's previous process, as reported by other nodes.
   void inheritLease(TimePoint until) { lease_.inherit(until); }
-  /// Another node's process has told of its lease.
+  /// Another node's process has reported its lease.
   void onPeerLease(const NodeName& node, const PeerLease& lease) { takeover_.onPeerLease(node, lease); }
-  /// It leaves, or this node stops: its keys go to others, in order. Holds until the next `serverUp`.
+  /// The server is leaving or this node is stopping: moves all keys to other servers. Lasts until the next `serverUp`.
   void startDraining() { draining_ = true; }
-  /// The servers of this node's zone are to get nothing: as `startDraining`, but it can end, and outlasts a server's
-  /// life.
+  /// Servers in this node's zone are to get no keys. Like `startDraining`, but can be cancelled and applies across
+  /// server restarts.
   void setEvacuated(bool evacuated) { evacuated_ = evacuated; }
 
-  /// A heartbeat of the server, newer than all before it. Only for servers that take their keys that way, as is all
-  /// that speaks of heartbeats below.
+  /// Handles a heartbeat of the server that is newer than all earlier ones. This and the other functions for heartbeats
+  /// apply only to servers that get their grants by heartbeat.
   void onKeyReport(const KeyReport& report);
   /// @return whether acknowledging the heartbeat now would change what the server holds.
   bool wouldChange(const KeyReport& report) const;
-  /// @return all that the server is to hold; none when nothing may be said of keys.
+  /// @return everything that the server is to hold; none if the acknowledgement must not contain keys.
   std::optional<KeyAssignment> assign(const KeyReport& report, TimePoint received);
-  /// An acknowledgement has been given.
+  /// An acknowledgement has been sent.
   void onAcknowledged();
-  /// @return whether the server's keys have run out since nothing was heard of it.
+  /// @return whether all grants of the server have expired since its last heartbeat.
   bool serverGrantsLapsed(TimePoint now) const {
     return hasServer() && heartbeat_grants_ && heartbeat_grants_->allLapsed(now);
   }
-  /// @return what heartbeats have told and were told; null when they don't tell of keys.
+  /// @return counters of grants by heartbeat; null if grants are sent by command.
   const HeartbeatGrantCounts* heartbeatCounts() const {
     return heartbeat_grants_ ? &heartbeat_grants_->counts() : nullptr;
   }
 
-  /// The server refused a request since it does not hold the key.
+  /// The server refused a request because it does not hold the key.
   void onKeyRefused(Key key) { grants_->onKeyRefused(key); }
 
-  /// Objects of the shared kind, as listed or watched.
+  /// Handles a listed or watched object of the table kind.
   void onTableObject(const MetadataObject& object) { writer_.onObject(object); }
   void onTableAbsent() { writer_.onAbsent(); }
 
-  /// Does what is due; every 100 ms or so, and after events.
+  /// Does what is due. Call about every 100 ms and after events.
   void tick(TimePoint now);
 
   KeyState keyState(Key key, TimePoint now) const;
-  /// @return who owns the key, for a process that asks here in vain.
+  /// @return the owner of the key, for a process that sent a request for it to the wrong node.
   OwnerHint hintFor(Key key) const;
-  /// Counts a request for its key.
+  /// Counts a request for the key.
   void onKeyRequest(Key key, TimePoint now) { meter_.add(key, 1.0, now); }
-  /// That request was refused since the server is full. Its client comes back once, so that two such are one request.
-  void onKeyRequestRefused(Key key, TimePoint now) { meter_.add(key, -kRefusedShare, now); }
-  /// @return requests a second for the keys of this node's server, as of the last tick.
+  /// The request was refused because the server is full. Its client retries once, so two refused requests count as one.
+  void onKeyRequestRefused(Key key, TimePoint now) { meter_.add(key, -kRefusedWeight, now); }
+  /// @return requests per second for the keys of this node's server, as of the last tick.
   double requestRate() const { return request_rate_; }
-  /// @param work asked of this node's server.
-  void setOfferedLoad(const OfferedLoad& work) { offered_load_ = work; }
-  /// @param share of the requests at this node's server that fail of late.
-  void setFailureRatio(double share) { failure_ratio_ = share; }
+  /// @param load offered to this node's server.
+  void setOfferedLoad(const OfferedLoad& load) { offered_load_ = load; }
+  /// @param ratio share of recent requests that failed at this node's server.
+  void setFailureRatio(double ratio) { failure_ratio_ = ratio; }
 
-  /// @return whether no key is left here, so that the node may stop.
+  /// @return whether this node owns no keys, so that it may stop.
   bool ownsNothing() const;
 
   const TableWriter& tableWriter() const { return writer_; }
@@ -125,44 +125,44 @@
   StoreRevision leaseRevision() const { return lease_.renewedRevision(); }
 
  private:
-  static constexpr double kRefusedShare = 0.5;
+  static constexpr double kRefusedWeight = 0.5;
 
   KeyMoves::Ports movePorts();
   GrantChannel::Events grantEvents();
   bool hasServer() const { return !instance_.empty(); }
   /// @return whether the server is to hold no keys.
-  bool givesKeysAway() const { return draining_ || evacuated_; }
+  bool movesKeysAway() const { return draining_ || evacuated_; }
   bool tableIsRead() const { return !ports_.table_read || ports_.table_read(); }
   std::vector<OwnedRange> grantable() const;
   std::vector<OwnedRange> assignable(const KeyReport& report) const;
   std::vector<OwnedRange> resumable(const KeyReport& report) const;
-  /// @return other servers that may be given keys, the least loaded first.
+  /// @return other servers that keys may be moved to, least loaded first.
   std::vector<OwnerLocation> targets(TimePoint now) const;
   std::size_t rank() const;
   TableWriter::RestoreDelays restoreDelays() const;
 
   void onLeaseRevoked();
-  /// A process that starts knows by the store's table alone what its server may be given. If the store has come back
-  /// from a copy since the table was changed last, keys may have gone to others by changes that are lost: nothing is
-  /// granted until the table has confirmed this node's ranges.
+  /// Checks the first known table against the epoch of the store. After a start only the store's table says what the
+  /// server may be granted. If the store has been restored from a backup since the last change of the table, lost
+  /// changes may have moved keys to others; nothing is granted until this node's ranges are confirmed in the table.
   void checkEpochAtStart();
   void createInitialTable(TimePoint now);
   void reconcileOwnRanges();
   void reassignDeadServerRanges(TimePoint now);
   void checkUnreachableOwners(TimePoint now);
   void takeOverRanges(const NodeName& node);
-  /// Hands all keys over to these.
+  /// Moves all keys to these servers.
   void moveAllRanges(const std::vector<OwnerLocation>& to, TimePoint now);
   /// @return servers at which far fewer requests fail than here; empty while few fail here.
   std::vector<OwnerLocation> healthierTargets(TimePoint now) const;
   void balance(TimePoint now);
-  BalanceInput balanceView(const std::vector<OwnedRange>& owned, TimePoint now) const;
+  BalanceInput balanceInput(const std::vector<OwnedRange>& owned, TimePoint now) const;
   std::uint32_t rateOf(const KeyRange& keys, TimePoint now) const;
-  double loadOf(const OwnerLocation& place, TimePoint now) const;
+  double loadOf(const OwnerLocation& location, TimePoint now) const;
   void mergeRanges();
 
   void queueChange(const std::string& what, TableWriter::Edit edit, std::function<void(bool)> done = {});
-  /// As `change`, for one that gives keys to other nodes.
+  /// Queues a change that transfers keys to other nodes.
   void queueTransfer(const std::string& what, const std::vector<OwnerLocation>& to, TableWriter::Edit edit,
                      std::function<void(bool)> done = {});
   void logEvent(const std::string& what, const std::string& detail);
@@ -174,7 +174,7 @@
   TableWriter writer_;
   LeaseManager lease_;
   std::unique_ptr<GrantChannel> grants_;
-  /// The same object if the server takes its keys by heartbeat; null otherwise.
+  /// The grant channel, if the server gets its grants by heartbeat; null otherwise.
   HeartbeatGrants* heartbeat_grants_ = nullptr;
   TakeoverWatcher takeover_;
   KeyMeter meter_;
@@ -182,9 +182,9 @@
   BalancePlanner planner_;
   KeyMoves moves_;
 
-  /// Empty while no server runs here.
+  /// Empty while no server runs.
   InstanceId instance_;
-  /// Empty unless a dead server's keys wait to be given away.
+  /// The server that has ended and whose keys are still to be reassigned; empty if there is none.
   InstanceId dead_instance_;
   TimePoint server_since_{};
   TimePoint last_tick_{};
@@ -195,12 +195,12 @@
 
   bool draining_ = false;
   bool evacuated_ = false;
-  /// The table that was known first has been compared with the store's era.
+  /// The first known table has been checked against the epoch of the store.
   bool start_checked_ = false;
-  /// The lease was revoked, or may be, or `checkEpochAtStart` has found an old table: nothing is granted until the
-  /// table has confirmed this node's ranges under new tokens.
+  /// Nothing is granted until this node's ranges are confirmed in the table under new tokens: the lease was or may have
+  /// been revoked, or the table was of an earlier epoch at start.
   bool must_confirm_ = false;
-  /// A change that this class makes by itself is queued; the next one waits for it.
+  /// A change queued by this class is pending; the next one waits for it.
   bool change_pending_ = false;
 };
 
--- a/source/core/router/report_filter.cc
+++ b/source/core/router/report_filter.cc
@@ -3,13 +3,13 @@
 namespace shedlever {
 
 bool ReportFilter::isAcceptable(const ServerReport& report) const {
-  const bool ours = report.service == service_ && report.address == address_;
-  return ours && !ended_.contains(report.instance) && !isFromEarlierInstance(report);
+  const bool from_own_server = report.service == service_ && report.address == address_;
+  return from_own_server && !ended_.contains(report.instance) && !isFromEarlierInstance(report);
 }
 
 bool ReportFilter::isFromEarlierInstance(const ServerReport& report) const {
   const auto latest = latest_starts_.find(serverOf(report.instance));
-  // Who has told its start once tells it always: a report without one is another writer's.
+  // A server that reports its start does so always, so a report without one comes from another sender.
   return latest != latest_starts_.end() && report.start.value_or(0) < latest->second;
 }
 
@@ -23,8 +23,8 @@
   if (!report.sequence) {
     return true;
   }
-  const auto [last, is_new] = sequences_.try_emplace(report.instance, *report.sequence);
-  if (!is_new && *report.sequence <= last->second) {
+  const auto [last, inserted] = sequences_.try_emplace(report.instance, *report.sequence);
+  if (!inserted && *report.sequence <= last->second) {
     return false;
   }
   last->second = *report.sequence;
--- a/source/core/router/report_filter.h
+++ b/source/core/router/report_filter.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Tells reports of the server that count from those that come late or from elsewhere. A life is a server's id and the
-/// moment of its start: once a later start was reported, the lives before have ended.
+/// Separates valid reports of this node's server from late ones and from those of other servers. A server instance is
+/// identified by the server's id and start time; a report of a later start shows that earlier instances have ended.
 
 #include <map>
 #include <set>
@@ -13,16 +13,17 @@
 
 class ReportFilter {
  public:
-  /// @param service, address of the server beside this process; reports of others don't count.
+  /// @param service, address of the server beside this process; other reports are rejected.
   ReportFilter(ServiceName service, Endpoint address) : service_(std::move(service)), address_(std::move(address)) {}
 
-  /// @return whether the report is of this server and of a life that is not known to have ended.
+  /// @return whether the report is from this server and from an instance that is not known to have ended.
   bool isAcceptable(const ServerReport& report) const;
 
-  /// @return whether the report says something new of a life that has not ended.
+  /// Accepts a report that is newer than all earlier ones of an instance that has not ended.
+  /// @return whether the report was accepted.
   bool accept(const ServerReport& report);
 
-  /// That life has ended; late reports of it don't count.
+  /// The instance has ended; its late reports are rejected.
   void markEnded(const InstanceId& instance) { ended_.insert(instance); }
 
  private:
@@ -32,7 +33,7 @@
   ServiceName service_;
   Endpoint address_;
   std::set<InstanceId> ended_;
-  /// Highest number of a report of each life.
+  /// Highest report number of each instance.
   std::map<InstanceId, std::uint64_t> sequences_;
   std::map<ServerId, ServerStart> latest_starts_;
 };
--- a/source/core/router/restorable_store.cc
+++ b/source/core/router/restorable_store.cc
@@ -14,18 +14,18 @@
   }
 }
 
-bool RestorableStore::observeEpoch(StoreEra told) {
-  if (told == 0) {
+bool RestorableStore::observeEpoch(StoreEra answer_epoch) {
+  if (answer_epoch == 0) {
     events_.on_epoch_missing();
     return true;
   }
-  observePeerEpoch(told);
-  return told == epoch_;
+  observePeerEpoch(answer_epoch);
+  return answer_epoch == epoch_;
 }
 
 StoreAnswer RestorableStore::filterByEpoch(StoreAnswer answer) {
-  const bool says_something = answer.status != StoreStatus::Unknown && answer.status != StoreStatus::Refused;
-  if (!says_something) {
+  const bool has_answer = answer.status != StoreStatus::Unknown && answer.status != StoreStatus::Refused;
+  if (!has_answer) {
     return answer;
   }
   if (!observeEpoch(answer.era)) {
@@ -43,7 +43,7 @@
     return {};
   }
   if (isFromEndedEpoch(after)) {
-    // The store has counted from another revision than the one that was meant.
+    // The store has interpreted the revision in another epoch than the one it was read in.
     return {WatchStatus::HistoryGone, {}, {}, epoch_};
   }
   answer.at.era = epoch_;
@@ -77,7 +77,7 @@
     }
     answer = filterByEpoch(std::move(answer));
     if (answer.status == StoreStatus::Done && !condition.none() && isFromEndedEpoch(condition)) {
-      // It was under way while the store came back, and its condition matched by chance.
+      // The store was restored during the call, and the condition matched by coincidence.
       answer.status = StoreStatus::Conflict;
     }
     done(std::move(answer));
--- a/source/core/router/restorable_store.h
+++ b/source/core/router/restorable_store.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Keeps the eras of a store apart that may come back from a copy of an earlier state.
+/// Keeps the epochs of a metadata store apart that may be restored from a backup.
 
 #include <functional>
 #include <memory>
@@ -11,25 +11,25 @@
 
 namespace shedlever {
 
-/// Revisions are given out again after the store has come back from a copy: one of an earlier epoch says nothing about
-/// what stands now, though its count may match. So what was read or written in an earlier epoch is told as lost here,
-/// and a condition of an earlier epoch as one that does not hold; nobody behind this class need compare eras for that.
+/// A restored store reuses revisions: one of an earlier epoch says nothing about the present state, even if its number
+/// matches. This class therefore reports answers of an earlier epoch as lost and conditions of an earlier epoch as not
+/// met, so that its users need not compare epochs.
 class RestorableStore final : public MetadataStore {
  public:
   struct Events {
-    /// The store has come back from a copy.
+    /// The store has been restored from a backup.
     std::function<void(StoreEra before, StoreEra now)> on_restored;
-    /// An answer tells no epoch, as none is told or it can't be read: it is taken for one of the present epoch.
+    /// An answer has no valid epoch and is treated as one of the present epoch.
     std::function<void()> on_epoch_missing;
   };
 
-  /// @param store tells eras with its answers. Outlives this.
+  /// @param store reports epochs with its answers. Must outlive this object.
   RestorableStore(MetadataStore& store, Events events) : store_(store), events_(std::move(events)) {}
   ~RestorableStore() override { *alive_ = false; }
   RestorableStore(const RestorableStore&) = delete;
   RestorableStore& operator=(const RestorableStore&) = delete;
 
-  /// Another process has heard of that epoch.
+  /// Another process has seen this epoch.
   void observePeerEpoch(StoreEra epoch);
   StoreEra era() const override { return epoch_; }
 
@@ -42,25 +42,26 @@
   void check(const std::string& kind, StoreRevision after, WatchCallback done) override;
 
  private:
-  /// @return whether the revision is of an epoch that is over.
+  /// @return whether the revision is of an earlier epoch.
   bool isFromEndedEpoch(const StoreRevision& revision) const { return revision.era < epoch_; }
-  /// An answer has come. @return whether it is of the present epoch.
-  bool observeEpoch(StoreEra told);
+  /// Records the epoch of an answer.
+  /// @return whether it is the present epoch.
+  bool observeEpoch(StoreEra answer_epoch);
   StoreAnswer filterByEpoch(StoreAnswer answer);
   WatchResult admit(WatchResult answer, const StoreRevision& after);
-  /// Tells what stands as a conflict, for a write whose condition is of an epoch that is over.
+  /// Answers a write whose condition is of an earlier epoch with a conflict and the present object.
   void answerWithConflict(const std::string& kind, const std::string& name, AnswerCallback done);
-  /// @return the callback of a call that has no condition.
+  /// @return the callback for a call without a condition.
   AnswerCallback wrapUnconditional(AnswerCallback done);
-  /// @return the callback of a conditional write.
+  /// @return the callback for a conditional write.
   AnswerCallback wrapConditional(const StoreRevision& condition, AnswerCallback done);
-  /// @return the callback of a question for changes since a revision.
+  /// @return the callback for a query for changes since a revision.
   WatchCallback wrapWatch(const StoreRevision& after, WatchCallback done);
 
   MetadataStore& store_;
   Events events_;
   StoreEra epoch_ = 0;
-  /// Set to false by the destructor, for answers that come afterwards.
+  /// Set to false by the destructor, for answers that arrive afterwards.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/core/router/server_directory.cc
+++ b/source/core/router/server_directory.cc
@@ -8,25 +8,25 @@
 
 namespace {
 
-/// A load that was told longer ago than this says nothing any more.
+/// An older load report is ignored.
 constexpr Duration kMaxLoadAge = std::chrono::seconds(2);
-/// Occupancy taken where nothing is known.
 constexpr double kPermille = 1000.0;
+/// Assumed occupancy of a server without a recent load report.
 constexpr double kUnknownOccupancy = 0.4;
-/// Share of the newest value in the running means.
+/// Weights of the newest value in the moving averages.
 constexpr double kSlownessSmoothing = 0.08;
 constexpr double kUsualServiceSmoothing = 0.03;
 constexpr double kMinSlowness = 0.2;
 constexpr double kMaxSlowness = 8.0;
-/// Cost of a full server in units of the usual service time, and of each further queue of the length of its slots.
+/// Extra cost of a full server, and of each further queue as long as its slots, in units of the usual service time.
 constexpr double kFullCost = 1.0;
 constexpr double kQueueCost = 4.0;
-/// Cost of each millisecond that a large answer waits for the machine's link.
+/// Cost of each millisecond that a large answer waits for the network link of the machine.
 constexpr double kLinkCostPerMs = 0.01;
-/// Costs of two servers are told apart only beyond this share, so that all processes don't choose the same one.
+/// Costs vary randomly by up to this share, so that processes do not all choose the same server.
 constexpr double kJitter = 0.2;
-/// A server that is sent nothing tells nothing: what it told of its failures fades, so that it is tried again.
-constexpr Duration kFailingHalfLife = std::chrono::seconds(2);
+/// Without requests a server reports nothing: the last reported failure ratio decays so that the server is tried again.
+constexpr Duration kFailureRatioHalfLife = std::chrono::seconds(2);
 
 }  // namespace
 
@@ -96,11 +96,11 @@
 }
 
 double ServerDirectory::occupancyOf(const Entry& entry, TimePoint now) const {
-  const bool told = now - entry.load_at <= kMaxLoadAge;
-  // A cold server can use fewer than it has.
-  const double slots = std::max(told && entry.load.slots > 0 ? entry.load.slots : entry.record.slots, 1U);
+  const bool reported = now - entry.load_at <= kMaxLoadAge;
+  // After a cold start the reported slots may be fewer than the configured ones.
+  const double slots = std::max(reported && entry.load.slots > 0 ? entry.load.slots : entry.record.slots, 1U);
   const double own = entry.in_flight / slots;
-  if (!told) {
+  if (!reported) {
     return std::max(own, kUnknownOccupancy);
   }
   return std::max(own, (entry.load.running + entry.load.queued) / slots);
@@ -113,15 +113,15 @@
 
 Duration ServerDirectory::loadAge(const NodeName& node, TimePoint now) const {
   const auto found = entries_.find(node);
-  const bool told = found != entries_.end() && found->second.load_at != TimePoint{};
-  return told ? now - found->second.load_at : Duration::max();
+  const bool reported = found != entries_.end() && found->second.load_at != TimePoint{};
+  return reported ? now - found->second.load_at : Duration::max();
 }
 
 const ServerLoad* ServerDirectory::load(const NodeName& node, TimePoint now) const {
   const auto found = entries_.find(node);
-  const bool told =
+  const bool reported =
       found != entries_.end() && found->second.load_at != TimePoint{} && now - found->second.load_at <= kMaxLoadAge;
-  return told ? &found->second.load : nullptr;
+  return reported ? &found->second.load : nullptr;
 }
 
 double ServerDirectory::failureRatioOf(const Entry& entry, TimePoint now) {
@@ -129,7 +129,7 @@
     return 0;
   }
   const auto age = static_cast<double>((now - entry.load_at).count());
-  return entry.failure_ratio * std::exp2(-age / static_cast<double>(kFailingHalfLife.count()));
+  return entry.failure_ratio * std::exp2(-age / static_cast<double>(kFailureRatioHalfLife.count()));
 }
 
 double ServerDirectory::failureRatio(const NodeName& node, TimePoint now) const {
@@ -141,8 +141,8 @@
   const double occupancy = occupancyOf(entry, now);
   double cost = entry.slowness;
   if (occupancy > config_.busy_occupancy) {
-    const double over = std::min(occupancy, 1.0) - config_.busy_occupancy;
-    cost += entry.slowness * kFullCost * over / (1.0 - config_.busy_occupancy);
+    const double excess = std::min(occupancy, 1.0) - config_.busy_occupancy;
+    cost += entry.slowness * kFullCost * excess / (1.0 - config_.busy_occupancy);
   }
   cost += kQueueCost * std::max(occupancy - 1.0, 0.0);
   cost += config_.failing_cost * failureRatioOf(entry, now);
@@ -175,9 +175,9 @@
     return nullptr;
   }
   if (kind != RouteKind::Download && candidates.size() > 1 && randomFraction() < config_.exploration) {
-    const Entry* tried = candidates[random_.below(candidates.size())];
-    if (occupancyOf(*tried, now) < config_.busy_occupancy) {
-      return &tried->record;
+    const Entry* explored = candidates[random_.below(candidates.size())];
+    if (occupancyOf(*explored, now) < config_.busy_occupancy) {
+      return &explored->record;
     }
   }
   return &best->record;
@@ -204,7 +204,7 @@
     return;
   }
   Entry& entry = found->second;
-  // Replies made up on this side, for a stream that broke, carry no load and say nothing about the node.
+  // Replies generated locally for a broken stream contain no load and say nothing about the node.
   if (reply.load.slots > 0) {
     entry.unreachable = false;
     entry.confirmed_reachable = true;
--- a/source/core/router/server_directory.h
+++ b/source/core/router/server_directory.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// What one process knows of all servers: where they are, whether they take requests and how loaded they are.
-/// Chooses the server for a request that no key binds.
+/// What one process knows of all servers: their addresses, whether they accept requests, and their load. Chooses the
+/// server for a request without a key.
 
 #include <cstdint>
 #include <map>
@@ -15,37 +15,37 @@
 
 namespace shedlever {
 
-/// What a node tells all others about itself and the server beside it, through the metadata store.
+/// What a node publishes about itself and its server in the metadata store.
 struct NodeRecord {
   NodeName node;
   Incarnation incarnation;
-  /// Where it takes streams from other nodes.
+  /// Endpoint for streams from other nodes.
   Endpoint peer;
   ZoneName zone;
   ServiceName service;
-  /// Empty while no server runs beside it.
+  /// Empty while the node has no server.
   InstanceId instance;
   std::uint32_t slots = 0;
-  /// The server is leaving, or the node is stopping.
+  /// The server is leaving or the node is stopping.
   bool draining = false;
-  /// Requests under which servers ended, this node's among them.
+  /// Requests during which servers ended, including this node's server.
   std::vector<QuarantinedRequest> quarantined;
 
   bool operator==(const NodeRecord&) const = default;
-  /// @return whether it has a server that takes requests.
+  /// @return whether the node has a server that accepts requests.
   bool serves() const { return !instance.empty() && !draining; }
 };
 
-/// How much another zone and a loaded server are avoided. Costs are in units of a request's usual service time.
+/// Costs for the choice of a server, in units of a request's usual service time.
 struct ServerChoiceConfig {
   double cross_zone_cost = 0.15;
-  /// For downloads, whose bytes weigh.
+  /// Higher, because downloads transfer much data.
   double cross_zone_download_cost = 3.0;
-  /// Occupancy above which a server's answers are expected to come later.
+  /// Occupancy above which a server is expected to answer more slowly.
   double busy_occupancy = 0.7;
-  /// Share of the small requests that go to a random server, to learn how fast it is.
+  /// Share of small requests that go to a random server, to measure how fast it is.
   double exploration = 0.02;
-  /// Cost of a server at which every request fails; in proportion for one at which some do.
+  /// Cost of a server at which every request fails; scaled by the failure ratio.
   double failing_cost = 6.0;
 };
 
@@ -53,26 +53,26 @@
  public:
   ServerDirectory(NodeName self, ZoneName zone, const ServerChoiceConfig& config, RandomSource& random);
 
-  /// A node's record is new or has changed.
+  /// Adds or updates the record of a node.
   void update(const NodeRecord& record);
   void remove(const NodeName& node);
 
-  /// The servers of these zones get no requests and no keys.
+  /// Servers in these zones get no requests and no keys.
   void setEvacuated(std::set<ZoneName> zones) { evacuated_ = std::move(zones); }
 
-  /// @return the record of the node; null when unknown.
+  /// @return the record of the node; null if unknown.
   const NodeRecord* node(const NodeName& node) const;
   std::vector<const NodeRecord*> nodes() const;
-  /// @return servers of the service that take requests and can be reached.
+  /// @return servers of the service that accept requests, are not unreachable and are not in an evacuated zone.
   std::vector<const NodeRecord*> availableServers(const ServiceName& service) const;
 
-  /// @return whether all servers of the service that take requests lie in evacuated zones, so that its keys can go
-  ///   nowhere.
+  /// @return whether the service has servers that accept requests and all of them are in evacuated zones, so that its
+  ///   keys cannot be moved.
   bool isFullyEvacuated(const ServiceName& service) const;
 
   /// Chooses a server for a request without a key.
   /// @param excluded servers that have been tried.
-  /// @return null when there is none left.
+  /// @return null if there is no other server.
   const NodeRecord* choose(const ServiceName& service, RouteKind kind, const std::set<InstanceId>& excluded,
                            TimePoint now);
 
@@ -80,30 +80,31 @@
   void onRequestSent(const NodeName& node);
   /// A request sent to the node has ended.
   void onRequestEnded(const NodeName& node);
-  /// @param route names requests of like cost. @param reply as the node's process gave it.
+  /// @param route identifies requests of similar cost.
+  /// @param reply as sent by the node's process.
   void onReply(const NodeName& node, const std::string& route, const ForwardReplyFrame& reply, TimePoint now);
 
-  /// The node's process can't be reached; it is left alone until it is heard of again.
+  /// The node's process cannot be reached. It gets no requests until it answers again or restarts.
   void markUnreachable(const NodeName& node);
   /// The node's process has answered.
   void onReachable(const NodeName& node);
-  /// @return whether the last try to reach the node's process failed, or nothing is known of it.
+  /// @return whether the last attempt to reach the node's process failed, or the node is unknown.
   bool isUnreachable(const NodeName& node) const;
-  /// @return whether this process has heard of the node's process, and not lost it since. Records of nodes that are
-  /// gone
-  ///   for good stay in the store, so that a record alone says little.
+  /// @return whether the node's process has answered and has not been unreachable since. A record alone is not enough,
+  ///   because the records of removed nodes stay in the store.
   bool isConfirmedReachable(const NodeName& node) const;
 
-  /// The node's process said that it or its server is leaving; holds until its next record.
+  /// The node's process reported that it or its server is leaving; valid until the next record.
   void markDraining(const NodeName& node);
 
-  /// @return occupied share of the node's slots, as last told; more than 1 while requests wait.
+  /// @return share of the node's slots in use, the higher of the last report and the requests sent from here; above 1
+  ///   while requests are queued.
   double occupancy(const NodeName& node, TimePoint now) const;
-  /// @return how long ago the node told its load; the longest duration when it has not.
+  /// @return time since the node reported its load; the longest duration if it has not.
   Duration loadAge(const NodeName& node, TimePoint now) const;
-  /// @return what the node told of its load; null when that is too old, or it has told nothing.
+  /// @return the last reported load; null if it is too old or was never reported.
   const ServerLoad* load(const NodeName& node, TimePoint now) const;
-  /// @return share of the requests at the node's server that fail, as far as is known; fades when nothing is told.
+  /// @return last reported ratio of failed requests at the node's server; decays without new reports.
   double failureRatio(const NodeName& node, TimePoint now) const;
 
  private:
@@ -111,10 +112,10 @@
     NodeRecord record;
     ServerLoad load;
     TimePoint load_at{};
-    /// Share of requests that failed, as told at `load_at`.
+    /// Ratio of failed requests, as reported at `load_at`.
     double failure_ratio = 0;
     std::uint32_t in_flight = 0;
-    /// Service time as a multiple of what is usual for the same route.
+    /// Service time relative to the usual time for the same route.
     double slowness = 1.0;
     bool unreachable = false;
     bool confirmed_reachable = false;
--- a/source/core/router/server_presence.cc
+++ b/source/core/router/server_presence.cc
@@ -24,8 +24,8 @@
 }
 
 bool ServerPresence::onLeaving(const ServerReport& report) {
-  const bool names_no_life = !report.start && serverOf(report.instance) == serverOf(instance_);
-  if (!instance_.empty() && (report.instance == instance_ || names_no_life)) {
+  const bool without_start = !report.start && serverOf(report.instance) == serverOf(instance_);
+  if (!instance_.empty() && (report.instance == instance_ || without_start)) {
     return true;
   }
   filter_.markEnded(report.instance);
@@ -33,9 +33,9 @@
 }
 
 bool ServerPresence::startDraining() {
-  const bool is_new = !draining_;
+  const bool was_serving = !draining_;
   draining_ = true;
-  return is_new;
+  return was_serving;
 }
 
 void ServerPresence::onGone() {
--- a/source/core/router/server_presence.h
+++ b/source/core/router/server_presence.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What a process knows of the server beside it, from the server's reports and from what its gate has seen.
+/// State of the server beside a process, from the server's reports and from observations by the gate.
 
 #include <cstdint>
 
@@ -12,9 +12,9 @@
 
 /// What a report has changed.
 enum class PresenceChange : std::uint8_t {
-  None,         ///< it was late, or not of this server
-  Updated,      ///< the same life, perhaps with other slots
-  NewInstance,  ///< another life of the server runs now
+  None,         ///< the report was late or from another server
+  Updated,      ///< the same instance, possibly with other slots
+  NewInstance,  ///< another instance of the server is running now
 };
 
 class ServerPresence {
@@ -22,36 +22,36 @@
   /// @param service, address of the server.
   ServerPresence(ServiceName service, Endpoint address) : filter_(std::move(service), std::move(address)) {}
 
-  /// The server said that it runs. Whether it leaves is told by `startDraining`.
+  /// Handles a report that the server is running. `startDraining` tells whether it is leaving.
   PresenceChange onReport(const ServerReport& report);
 
-  /// @return whether the report is of another server than the present one, which is not known to have ended. It may
-  /// have been held up since before the present one; or the present one has ended unnoticed. Of one server's lives the
-  /// later start tells which runs.
+  /// @return whether the report is from a server other than the present one that is not known to have ended. Either the
+  ///   report was delayed since before the present server started, or the present server has ended unnoticed. For two
+  ///   instances of one server the later start decides.
   bool contradicts(const ServerReport& report) const;
-  /// A life that is not the present one has ended; late reports of it don't count.
+  /// An instance other than the present one has ended; its late reports are rejected.
   void onEarlierInstanceEnded(const InstanceId& instance) { filter_.markEnded(instance); }
 
-  /// A life of the server said that it leaves and reports no more.
-  /// @return whether it is the present one. Another one never counts again, whatever comes late.
+  /// An instance of the server reported that it is leaving and will send no more reports.
+  /// @return whether it is the present instance. Late reports of any other instance are rejected from now on.
   bool onLeaving(const ServerReport& report);
 
-  /// The present life takes nothing new.
-  /// @return false when that is known.
+  /// The present instance accepts no new requests.
+  /// @return false if that was known already.
   bool startDraining();
 
-  /// The present life is dead for sure; late reports of it don't count.
+  /// The present instance has ended for certain; its late reports are rejected.
   void onGone();
 
-  /// It does not answer, or does again.
+  /// Sets whether the server fails to answer.
   void setSilent(bool silent) { silent_ = silent; }
 
   /// Empty while no server runs.
   const InstanceId& instance() const { return instance_; }
   std::uint32_t slots() const { return slots_; }
-  /// @param reports_keys its heartbeats tell which keys it holds.
-  /// @return whether a refused connection proves that it has ended. A leaving server may take no connections any more
-  ///   while it still works and holds keys; what it holds is then told by its heartbeats alone.
+  /// @param reports_keys whether the server's heartbeats list the keys that it holds.
+  /// @return whether a refused connection proves that the server has ended. A leaving server may refuse connections
+  ///   while it still works and holds keys; then only its heartbeats tell what it holds.
   bool refusalProvesEnd(bool reports_keys) const { return !(draining_ && reports_keys); }
 
   bool draining() const { return draining_; }
--- a/source/core/router/staleness_bound.cc
+++ b/source/core/router/staleness_bound.cc
@@ -7,14 +7,14 @@
 
 namespace {
 
-/// After a question without an answer; doubles with each ...
+/// Delay after a query without an answer; doubles with each further one.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(400);
-/// ... up to this: a process whose path to the store is whole again has some 2 s to read what has changed.
+/// Short enough that a process with a restored connection to the store has about 2 s to read the changes.
 constexpr Duration kMaxRetryDelay = std::chrono::milliseconds(1600);
-/// How much more often all ask shortly before the limit: else it would come once in 25 times that nobody had asked, and
-/// all would ask at once.
+/// Increase of the query rate towards the limit. Without it the limit would more often be reached without any query,
+/// and then all processes would query at once.
 constexpr double kMaxExtraUrgency = 9;
-/// Steps of chance.
+/// Resolution of the random decision.
 constexpr std::uint64_t kRandomSteps = 1'000'000;
 
 }  // namespace
@@ -23,7 +23,7 @@
     : limits_(limits), backoff_(kRetryDelay, kMaxRetryDelay), newest_at_(now), last_call_(now) {}
 
 void StalenessBound::noteFreshAt(TimePoint at) {
-  // Others tell the same with each reply: that is no sign that the store answers again.
+  // Other processes repeat the same time with each reply; this does not show that the store answers again.
   if (at <= newest_at_) {
     return;
   }
@@ -35,7 +35,7 @@
 void StalenessBound::onFailed(TimePoint now) { not_before_ = now + backoff_.onFailure(); }
 
 bool StalenessBound::shouldQuery(TimePoint now, std::size_t processes, RandomSource& random) {
-  const Duration covered = now - std::exchange(last_call_, now);
+  const Duration elapsed = now - std::exchange(last_call_, now);
   const Duration stale = staleness(now);
   if (stale < limits_.min_staleness || now < not_before_) {
     return false;
@@ -45,9 +45,9 @@
   }
   const auto span = static_cast<double>((limits_.max_staleness - limits_.min_staleness).count());
   const double urgency = 1 + kMaxExtraUrgency * static_cast<double>((stale - limits_.min_staleness).count()) / span;
-  const double questions = limits_.queries_per_second * urgency * std::chrono::duration<double>(covered).count();
-  const double chance = questions / static_cast<double>(std::max<std::size_t>(processes, 1));
-  return static_cast<double>(random.below(kRandomSteps)) < chance * kRandomSteps;
+  const double queries = limits_.queries_per_second * urgency * std::chrono::duration<double>(elapsed).count();
+  const double probability = queries / static_cast<double>(std::max<std::size_t>(processes, 1));
+  return static_cast<double>(random.below(kRandomSteps)) < probability * kRandomSteps;
 }
 
 }  // namespace shedlever
--- a/source/core/router/staleness_bound.h
+++ b/source/core/router/staleness_bound.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Bounds how old what a process knows of the store's objects may be.
+/// Limits how stale a process's knowledge of the objects in the store can get.
 
 #include <cstddef>
 
@@ -11,36 +11,36 @@
 namespace shedlever {
 
 struct StalenessLimits {
-  /// Before that nobody asks.
+  /// Processes do not query the store before this staleness.
   Duration min_staleness = std::chrono::milliseconds(700);
-  /// A process that has heard nothing for so long asks by itself: a change is to be in force after 2 s.
+  /// A process queries the store at this staleness at the latest, because a change must be in effect after 2 s.
   Duration max_staleness = std::chrono::milliseconds(1500);
-  /// Questions a second of all processes together, from `least` on: the first comes 0.25 s later on average, and is
-  /// told on before many others ask.
+  /// Queries per second of all processes together, from `min_staleness` on. The first comes 0.25 s later on average,
+  /// and its result reaches other processes before many of them query.
   double queries_per_second = 4;
 };
 
-/// Decides when to ask the store whether there is anything newer.
+/// Decides when to query the store for changes.
 ///
-/// Watches alone can't be relied on: one that was sent while the store was silent, or whose connection has gone silent,
-/// is never answered, and looks like one for which there is no news. A process that has asked tells the others with its
-/// replies, so that a few questions a second serve all of them, however many there are. Chance decides who asks: no
-/// process is needed for it.
+/// Watches alone are unreliable: one that was sent while the store did not answer, or whose connection has failed
+/// silently, looks like one without changes. A process that has queried passes the result on with its replies, so that
+/// a few queries per second serve any number of processes. The querying process is chosen at random, so that no
+/// particular one is needed.
 class StalenessBound {
  public:
   StalenessBound(const StalenessLimits& limits, TimePoint now);
 
-  /// What is known was the newest at that time, as this process or another has asked.
+  /// The known data was current at that time, according to a query by this or another process.
   void noteFreshAt(TimePoint at);
-  /// A question had no answer.
+  /// A query got no answer.
   void onFailed(TimePoint now);
 
-  /// @return how long ago what is known was the newest for sure.
+  /// @return time since the known data was last confirmed as current.
   Duration staleness(TimePoint now) const { return now - newest_at_; }
 
-  /// @param processes that ask and tell each other, this one among them.
-  /// @param random makes each process ask at its own time.
-  /// @return whether to ask now. To be called often: each call covers the time since the one before.
+  /// @param processes number of processes that share their results, including this one.
+  /// @param random spreads the queries of the processes over time.
+  /// @return whether to query now. Call often: each call covers the time since the previous one.
   bool shouldQuery(TimePoint now, std::size_t processes, RandomSource& random);
 
  private:
@@ -48,7 +48,7 @@
   RetryBackoff backoff_;
   TimePoint newest_at_;
   TimePoint last_call_;
-  /// No question before, after one without an answer.
+  /// No query before this time, after one without an answer.
   TimePoint not_before_{};
 };
 
--- a/source/core/router/table_writer.cc
+++ b/source/core/router/table_writer.cc
@@ -6,10 +6,10 @@
 
 namespace {
 
-/// A change that finds another one made before it tries so often at once, then waits for the next tick.
+/// After this many conflicts in a row the change waits for the next tick.
 constexpr unsigned kConflictsBeforeDelay = 2;
-/// After a call that was refused or had no answer; doubles with each, so that a store that refuses this node for
-/// seconds is not asked at each tick.
+/// Delay after a call that was refused or got no answer; doubles with each failure, so that a store that refuses calls
+/// for seconds is not called at every tick.
 constexpr Duration kRetryDelay = std::chrono::milliseconds(100);
 constexpr Duration kMaxRetryDelay = std::chrono::milliseconds(800);
 
@@ -39,7 +39,7 @@
   if (!table) {
     return;
   }
-  // A list that may be seconds old can have told an earlier state under a later revision.
+  // A stale list may have returned an earlier state under a later revision.
   revision_ = std::min(revision_, object.revision);
   adopt(std::move(table.value()), object.revision);
 }
@@ -86,10 +86,10 @@
 }
 
 void TableWriter::trackTableEpoch(TimePoint now) {
-  const bool rose = std::exchange(last_tick_epoch_, store_.era()) != store_.era();
+  const bool epoch_changed = std::exchange(last_tick_epoch_, store_.era()) != store_.era();
   if (!exists() || table_.epoch() >= store_.era()) {
     earlier_epoch_since_ = {};
-  } else if (rose || earlier_epoch_since_ == TimePoint{}) {
+  } else if (epoch_changed || earlier_epoch_since_ == TimePoint{}) {
     earlier_epoch_since_ = now;
   }
 }
@@ -130,7 +130,7 @@
 
 void TableWriter::restore() {
   if (outdated_store_revision_.era > store_.era()) {
-    // Told by a process that has heard of a later era than this one.
+    // The revision came from a process that has seen a later epoch.
     return;
   }
   if (!outdated_store_revision_.none() && outdated_store_revision_.era == store_.era()) {
@@ -138,7 +138,7 @@
     return;
   }
   if (revision_.era == store_.era()) {
-    // Whoever read it has found this table in the store in the present era.
+    // This table was read from the store in the present epoch.
     verified_epoch_ = store_.era();
     outdated_store_revision_ = {};
     startNext();
@@ -156,10 +156,10 @@
 }
 
 void TableWriter::advanceTableEpoch() {
-  OwnerTable entered = table_;
-  entered.beginChange(store_.era());
+  OwnerTable advanced = table_;
+  advanced.beginChange(store_.era());
   in_flight_ = true;
-  store_.replace(kTableKind, {ownerTableName(service_), revision_, entered.encode()},
+  store_.replace(kTableKind, {ownerTableName(service_), revision_, advanced.encode()},
                  [this](const StoreAnswer& answer) { onTableReconciled(answer); });
 }
 
@@ -218,7 +218,7 @@
       return;
     case StoreStatus::Conflict:
       onStored(answer.object);
-      // Many owners change one table: those that meet again and again come back at different times.
+      // Spreads writers that conflict repeatedly over different times.
       if (++conflicts_ % kConflictsBeforeDelay == 0) {
         delayed_until_ = last_tick_;
       }
--- a/source/core/router/table_writer.h
+++ b/source/core/router/table_writer.h
@@ -13,29 +13,29 @@
 
 namespace shedlever {
 
-/// Kind of the owner tables. All nodes watch it, without haste: who asks an owner in vain is told the next one, and who
-/// is given keys is told so by the giver.
+/// Kind of the owner tables. Nodes need not read changes at once: a process that contacts the wrong owner gets a hint,
+/// and a node that receives keys gets the table from the previous owner.
 inline constexpr const char* kTableKind = "shedlever-tables";
 
-/// @return name of a service's table object.
+/// @return the name of the service's table object.
 std::string ownerTableName(const ServiceName& service);
 
-/// Holds the newest table known. A change is an edit that looks at the table and says whether it still applies; it is
-/// made on the newest table until it is written, or until it applies no more. So a change whose answer was lost is
-/// compared with what stands in the store before anything else is done.
+/// Holds the newest known table. A change is an edit that is applied to the newest table until it is written or no
+/// longer applies. A change without an answer is therefore compared with the table in the store before anything else is
+/// done.
 class TableWriter {
  public:
   /// @return whether the edit changed the table. Must be safe to run on any later table.
   using Edit = std::function<bool(OwnerTable&)>;
-  /// @param written whether the edit stands in the store now; false when it applied no more.
+  /// @param written whether the edit is in the store; false if it no longer applied.
   using Done = std::function<void(bool written)>;
 
-  /// What is done once the store has come back from a copy of an earlier state, which may hold an earlier table.
+  /// Delays after the store has been restored from a backup, which may hold an earlier table.
   struct RestoreDelays {
-    /// Until this process reads the table again: not all do so at once.
+    /// Before this process reads the table again; differs between processes to spread the load.
     Duration read_delay{};
-    /// Until it changes the table. Whoever holds a later table has written it again by then, and what was granted by
-    /// changes that all processes have lost has run out.
+    /// Before this process changes the table. By then any process with a later table has written it again, and grants
+    /// under changes that all processes have lost have expired.
     Duration change_delay{};
   };
 
@@ -44,10 +44,10 @@
 
   void setRestoreDelays(const RestoreDelays& times) { restore_delays_ = times; }
 
-  /// A table was read or watched; older ones than the one held are ignored.
+  /// Handles a table that was read or watched; ignored if older than the known one.
   void onObject(const MetadataObject& object);
 
-  /// The kind was listed and holds no table.
+  /// The kind was listed and contains no table.
   void onAbsent() { absence_known_ = true; }
 
   /// @return whether there is a table, or it is known that there is none.
@@ -59,16 +59,16 @@
   /// Queues a change.
   void change(Edit edit, Done done);
 
-  /// Creates the first table, unless there is one.
+  /// Creates the initial table unless there is one.
   void create(const OwnerTable& table);
 
-  /// Tries again what had no answer, or was refused, once its backoff is over.
+  /// Retries calls that were refused or got no answer, once their backoff is over.
   void tick(TimePoint now);
 
   bool idle() const { return changes_.empty() && !in_flight_; }
 
-  /// @return whether the store holds, or may hold, an earlier table than this one, or none: nothing is changed until
-  ///   that is mended.
+  /// @return whether the store holds, or may hold, an earlier table than this one or none; no changes are made until
+  ///   this is repaired.
   bool awaitsRestore() const { return verified_epoch_ < store_.era() || !outdated_store_revision_.none(); }
 
  private:
@@ -77,22 +77,22 @@
     Done done;
   };
 
-  /// What stands in the store, as an answer to a call of this object tells.
+  /// Handles the state of the table in the store, as contained in an answer to a call of this object.
   void onStored(const MetadataObject& object);
   void adopt(OwnerTable table, const StoreRevision& revision);
   void startNext();
   void write();
-  /// Compares what the store holds since it has come back, and writes the table again if that is an earlier one.
+  /// Compares the known table with the one in the restored store, and writes it again if the store's is older.
   void restore();
   void rewriteTable();
   void recreateTable();
-  /// Changes nothing but the table's era, so that processes that start from now on need not wait.
+  /// Changes only the epoch of the table, so that processes that start later need not wait.
   void advanceTableEpoch();
-  /// @return whether the table may be changed in the store's present era.
+  /// @return whether the table may be changed in the present epoch of the store.
   bool mayChange() const;
-  /// Notes since when the table is of an earlier era than the store.
+  /// Tracks since when the table has been of an earlier epoch than the store.
   void trackTableEpoch(TimePoint now);
-  /// @return whether the table was changed last in an earlier era than the store's, and this process has known so long.
+  /// @return whether the table has been known for this long to be of an earlier epoch than the store.
   bool inEarlierEpochFor(Duration time) const;
   void onWritten(const StoreAnswer& answer);
   void rereadTable();
@@ -105,25 +105,26 @@
   OwnerTable table_;
   StoreRevision revision_;
   bool absence_known_ = false;
-  /// Conflicts since the last write that was done.
+  /// Conflicts since the last successful write.
   unsigned conflicts_ = 0;
   std::deque<Change> changes_;
   bool in_flight_ = false;
-  /// The first change had no answer: what stands must be read before it is tried again.
+  /// The first change got no answer; the table must be read before the change is retried.
   bool must_reread_ = false;
   void backOff();
 
   RestoreDelays restore_delays_;
-  /// Era in which the store's table is known not to be earlier than this one.
+  /// Last epoch in which the store's table was verified not to be older than this one.
   StoreEra verified_epoch_ = 0;
-  /// Where the store holds an earlier table than this one; none: it does not.
+  /// Revision of the store's table if it is older than this one; none otherwise.
   StoreRevision outdated_store_revision_;
-  /// The store's era at the last tick.
+  /// Epoch of the store at the last tick.
   StoreEra last_tick_epoch_ = 0;
-  /// When it was seen that the table was changed last in an earlier era than this one of the store; zero: it was not.
+  /// Time at which the table was first seen to be of an earlier epoch than the present one of the store; zero: it is
+  /// not.
   TimePoint earlier_epoch_since_{};
 
-  /// The first change waits until a tick after this; zero: it does not wait.
+  /// The first change waits for a tick after this time; zero: it does not wait.
   TimePoint delayed_until_{};
   TimePoint last_tick_{};
   RetryBackoff backoff_;
--- a/source/core/router/takeover_watcher.cc
+++ b/source/core/router/takeover_watcher.cc
@@ -35,17 +35,18 @@
 }
 
 TimePoint TakeoverWatcher::leaseExpiry(const NodeName& node, const Challenge& challenge) const {
-  const TimePoint by_own_count = challenge.read_at + config_.lease;
+  const TimePoint by_own_clock = challenge.read_at + config_.lease;
   const auto heard = peer_leases_.find(node);
-  const bool same = !challenge.absent && heard != peer_leases_.end() && heard->second.revision == challenge.revision;
-  return same ? std::min(by_own_count, heard->second.expired_by) : by_own_count;
+  const bool unchanged =
+      !challenge.absent && heard != peer_leases_.end() && heard->second.revision == challenge.revision;
+  return unchanged ? std::min(by_own_clock, heard->second.expired_by) : by_own_clock;
 }
 
 void TakeoverWatcher::advance(const NodeName& node, Challenge& challenge, Duration delay, TimePoint now) {
   if (now - challenge.suspected_since < config_.suspicion) {
     return;
   }
-  // What was read in an earlier era of the store proves nothing, and revokes nothing.
+  // A lease read in an earlier epoch of the store proves nothing and cannot be revoked.
   if (!challenge.read || challenge.epoch < store_.era()) {
     challenge.in_flight = true;
     readLease(node);
@@ -98,7 +99,7 @@
       challenges_.erase(found);
       on_revoked_(node);
     } else if (answer.status == StoreStatus::Conflict) {
-      // Renewed, or revoked by another challenger; either way its time counts from now.
+      // The lease was renewed, or revoked by another node; in both cases its duration counts from now.
       adopt(found->second, answer.object);
     } else if (answer.status == StoreStatus::Unknown) {
       found->second.read = false;
--- a/source/core/router/takeover_watcher.h
+++ b/source/core/router/takeover_watcher.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Takes keys from owners that have fallen silent: first their lease is revoked in the store, then the table changes.
+/// Takes over keys from owners that do not respond: first revokes their lease in the store, then changes the table.
 
 #include <functional>
 #include <map>
@@ -14,23 +14,23 @@
 
 namespace shedlever {
 
-/// Challenges a node only after its lease is over: its object has stood unchanged for the whole lease on this process's
-/// own clock, or is still the one of which the node's process told when it ends. The revocation is conditional on that
-/// unchanged revision: a renewal that arrives later fails, and one that arrives before makes the revocation fail.
+/// Revokes a node's lease only after it has expired: the lease object has been unchanged for the whole lease duration
+/// on this process's clock, or is still the one whose expiry the node reported. The revocation is conditional on the
+/// unchanged revision, so a later renewal fails, and an earlier one makes the revocation fail.
 class TakeoverWatcher {
  public:
-  /// @param on_revoked the node's lease is revoked: its ranges may be given to others.
+  /// @param on_revoked the node's lease has been revoked; its ranges may be reassigned.
   TakeoverWatcher(const OwnershipConfig& config, MetadataStore& store, const Clock& clock,
                   std::function<void(const NodeName&)> on_revoked);
 
-  /// @param suspects owners' nodes that can't be reached now. Others are left alone, whatever was seen of them.
-  /// @param delay further wait before this process takes from anyone.
+  /// @param suspects nodes of owners that are unreachable now. Observations about other nodes are dropped.
+  /// @param delay additional wait before this process revokes a lease.
   void tick(const std::set<NodeName>& suspects, Duration delay, TimePoint now);
 
-  /// A node's process has told of its lease.
+  /// A node's process has reported its lease.
   void onPeerLease(const NodeName& node, const PeerLease& lease);
 
-  /// The process stood still: what it saw before says nothing about the time between.
+  /// Drops all observations, because this process was paused and they do not cover the pause.
   void reset() { challenges_.clear(); }
 
  private:
@@ -39,14 +39,14 @@
     bool read = false;
     bool absent = false;
     StoreRevision revision;
-    /// Of the store when it was read.
+    /// Epoch of the store at the time of reading.
     StoreEra epoch = 0;
     LeaseRecord lease;
     TimePoint read_at{};
     bool in_flight = false;
   };
 
-  /// @return when the lease of a node, as it was read, is over.
+  /// @return when the lease that was read from the store expires.
   TimePoint leaseExpiry(const NodeName& node, const Challenge& challenge) const;
   void advance(const NodeName& node, Challenge& challenge, Duration delay, TimePoint now);
   void readLease(const NodeName& node);
@@ -58,7 +58,7 @@
   const Clock& clock_;
   std::function<void(const NodeName&)> on_revoked_;
   std::map<NodeName, Challenge> challenges_;
-  /// The newest lease that each node told of.
+  /// The newest lease reported by each node.
   std::map<NodeName, PeerLease> peer_leases_;
 };
 
--- a/source/core/router/zone_evacuation.cc
+++ b/source/core/router/zone_evacuation.cc
@@ -6,8 +6,9 @@
 
 namespace {
 
-/// Requests for keys of an evacuated zone are begun there for this part of the time that operators give: the wish is
-/// known everywhere after half of it, and what is on its way to the server needs the rest.
+/// Share of the evacuation time for which requests for keys of the zone are still started after a node learns of the
+/// evacuation. Every node learns of it within half of the evacuation time; the rest is left for requests on their way
+/// to the server.
 constexpr int kMovingKeysPercent = 30;
 constexpr int kPercent = 100;
 
@@ -19,7 +20,7 @@
     return false;
   }
   evacuated_ = evacuated;
-  // Whoever learns of it at its start learns late: how much of the time that operators give is left is not known.
+  // A process that learns of the evacuation at its start does not know how much of the evacuation time is left.
   complete_at_ = at_start ? now : now + time_limit_ * kMovingKeysPercent / kPercent;
   return true;
 }
--- a/source/core/router/zone_evacuation.h
+++ b/source/core/router/zone_evacuation.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What the operators' wish that the servers of a zone get nothing means for one server of it.
+/// Effect of a zone evacuation, as requested by operators, on one server of the zone.
 
 #include <cstdint>
 
@@ -11,17 +11,19 @@
 
 enum class EvacuationPhase : std::uint8_t {
   None,
-  MovingKeys,  ///< requests for the server's keys are begun while the keys go to other zones
-  Complete,    ///< nothing is begun; also while it is not known whether there is such a wish
+  MovingKeys,  ///< requests for the server's keys are started while the keys move to other zones
+  Complete,    ///< no requests are started; also while it is unknown whether the zone is evacuated
 };
 
-/// Follows the wish for the zone of one server.
+/// Tracks the evacuation of the zone of one server.
 class ZoneEvacuation {
  public:
-  /// @param within servers get nothing any more so long after operators have asked for it; zero where they can't.
-  explicit ZoneEvacuation(Duration within) : time_limit_(within), known_(within == Duration::zero()) {}
+  /// @param time_limit time after the operators' request at which servers get no more requests; zero if zones cannot be
+  ///   evacuated.
+  explicit ZoneEvacuation(Duration time_limit) : time_limit_(time_limit), known_(time_limit == Duration::zero()) {}
 
-  /// It is known whether the zone is evacuated. @return whether that has changed, or was not known before.
+  /// Sets whether the zone is evacuated.
+  /// @return whether that has changed or was unknown before.
   bool update(bool evacuated, TimePoint now);
 
   bool evacuated() const { return evacuated_; }
@@ -31,7 +33,7 @@
   Duration time_limit_;
   bool known_;
   bool evacuated_ = false;
-  /// From then on nothing is begun.
+  /// From then on no requests are started.
   TimePoint complete_at_{};
 };
 
--- a/test/core_router/config_in_force_test.cc
+++ b/test/core_router/config_in_force_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Which configuration is in force, whatever order its parts and versions are told in.
+/// Selection of the active configuration, for any order of its parts and versions.
 
 #include "source/core/router/config_in_force.h"
 
@@ -8,7 +8,7 @@
 namespace shedlever::test {
 namespace {
 
-/// Two parts; the version is the sum of their values, which must be numbers.
+/// A protocol with two parts; the version is the sum of their values, which must be numbers.
 class SumOfParts final : public ConfigProtocol {
  public:
   std::string kind() const override { return "config"; }
@@ -30,13 +30,13 @@
   bool counted_by_operators = true;
 };
 
-class ConfigInForceTest : public ::testing::Test {
+class ActiveConfigTest : public ::testing::Test {
  protected:
   ActiveConfig::Events events() {
     ActiveConfig::Events events;
     events.on_adopted = [this] { adopted_.push_back(config_.routes()->version()); };
-    events.on_invalid = [this](const Findings&) { ++not_understood_; };
-    events.on_stale_part = [this](const MetadataObject&, const StoreRevision&) { ++older_; };
+    events.on_invalid = [this](const Findings&) { ++invalid_; };
+    events.on_stale_part = [this](const MetadataObject&, const StoreRevision&) { ++stale_; };
     events.on_lower_version = [this](ConfigVersion version) { lower_.push_back(version); };
     return events;
   }
@@ -48,12 +48,12 @@
   SumOfParts protocol_;
   std::vector<ConfigVersion> adopted_;
   std::vector<ConfigVersion> lower_;
-  int not_understood_ = 0;
-  int older_ = 0;
+  int invalid_ = 0;
+  int stale_ = 0;
   ActiveConfig config_{protocol_, events()};
 };
 
-TEST_F(ConfigInForceTest, NothingIsInForceBeforeAllPartsAreTold) {
+TEST_F(ActiveConfigTest, NoConfigurationIsActiveBeforeAllPartsAreListed) {
   part("a", 5, "1");
   part("other", 6, "wrong");
   EXPECT_EQ(config_.routes(), nullptr);
@@ -63,25 +63,25 @@
   EXPECT_EQ(config_.copies().size(), 2U);
 }
 
-TEST_F(ConfigInForceTest, OlderPartsAndWrongOnesChangeNothing) {
+TEST_F(ActiveConfigTest, StaleAndInvalidPartsAreIgnored) {
   part("a", 5, "1");
   config_.onListComplete();
   part("a", 4, "9");
   part("a", 6, "wrong");
   EXPECT_EQ(adopted_, std::vector<ConfigVersion>{1});
-  EXPECT_EQ(older_, 1);
-  EXPECT_EQ(not_understood_, 1);
+  EXPECT_EQ(stale_, 1);
+  EXPECT_EQ(invalid_, 1);
   EXPECT_EQ(config_.copies().front().value, "1");
 }
 
-TEST_F(ConfigInForceTest, PartOfALaterEraCountsThoughItsCountIsLower) {
+TEST_F(ActiveConfigTest, PartOfALaterEpochIsNewerDespiteItsLowerRevision) {
   part("a", {1, 113}, "48");
   config_.onListComplete();
   part("a", {2, 97}, "51");
   EXPECT_EQ(adopted_, (std::vector<ConfigVersion>{48, 51}));
 }
 
-TEST_F(ConfigInForceTest, LowerVersionOfACopyIsIgnored) {
+TEST_F(ActiveConfigTest, LowerVersionInARestoredStoreIsIgnored) {
   part("a", {1, 113}, "48");
   config_.onListComplete();
   part("a", {2, 85}, "40");
@@ -89,7 +89,7 @@
   EXPECT_EQ(config_.copies().front().value, "48");
 }
 
-TEST_F(ConfigInForceTest, WhereTheStoreCountsVersionsItsCopyIsTaken) {
+TEST_F(ActiveConfigTest, LowerVersionIsAdoptedIfTheStoreAssignsVersions) {
   protocol_.counted_by_operators = false;
   part("a", {1, 113}, "113");
   config_.onListComplete();
@@ -98,7 +98,7 @@
   EXPECT_EQ(config_.comparableVersion(), 0U);
 }
 
-TEST_F(ConfigInForceTest, LaterVersionThatAnotherProcessTellsIsTakenOver) {
+TEST_F(ActiveConfigTest, HigherVersionFromAPeerIsAdopted) {
   part("a", {2, 85}, "40");
   config_.onListComplete();
   config_.onPeerConfig({{"a", {1, 113}, "48"}});
@@ -109,7 +109,7 @@
   EXPECT_EQ(adopted_, (std::vector<ConfigVersion>{40, 48, 48, 51}));
 }
 
-TEST_F(ConfigInForceTest, FirstOneMayBeToldByAnotherProcess) {
+TEST_F(ActiveConfigTest, FirstConfigurationMayComeFromAPeer) {
   config_.onPeerConfig({{"a", {1, 113}, "48"}});
   EXPECT_EQ(adopted_, std::vector<ConfigVersion>{48});
   part("a", {1, 120}, "50");
--- a/test/core_router/evacuated_zones_test.cc
+++ b/test/core_router/evacuated_zones_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Which zones are evacuated, as the store's objects and other processes tell it.
+/// Evacuated zones as known from the store's objects and from other processes.
 
 #include "source/core/router/evacuated_zones.h"
 
@@ -23,14 +23,14 @@
   EvacuatedZones zones_;
 };
 
-TEST_F(EvacuatedZonesTest, NothingIsKnownBeforeTheFirstList) {
+TEST_F(EvacuatedZonesTest, ZonesAreUnknownBeforeTheFirstListing) {
   EXPECT_FALSE(zones_.known());
   list({});
   EXPECT_TRUE(zones_.known());
   EXPECT_TRUE(zones_.zones().empty());
 }
 
-TEST_F(EvacuatedZonesTest, TwoZonesAtOnceEndOneByOne) {
+TEST_F(EvacuatedZonesTest, EvacuationsOfTwoZonesEndIndependently) {
   list({zone("a", 5)});
   zones_.onObject(zone("b", 7), false);
   EXPECT_EQ(zones_.zones(), (std::set<ZoneName>{ZoneName("a"), ZoneName("b")}));
@@ -38,16 +38,16 @@
   EXPECT_EQ(zones_.zones(), std::set<ZoneName>{ZoneName("b")});
 }
 
-// A watch was lost, and the evacuation withdrawn meanwhile.
-TEST_F(EvacuatedZonesTest, WhatALaterListDoesNotHoldIsOver) {
+// A lost watch must not hide the end of an evacuation.
+TEST_F(EvacuatedZonesTest, ZoneMissingInALaterListingIsNoLongerEvacuated) {
   list({zone("a", 5)});
   list({zone("b", 8)});
   EXPECT_FALSE(zones_.contains(ZoneName("a")));
   EXPECT_TRUE(zones_.contains(ZoneName("b")));
 }
 
-// Amid a list of two zones only one of them is known again: whoever acted on that would end the other's evacuation.
-TEST_F(EvacuatedZonesTest, IsNotSettledAmidAList) {
+// During a listing an evacuated zone may be missing; acting on this would end its evacuation.
+TEST_F(EvacuatedZonesTest, IsNotCompleteDuringAListing) {
   EXPECT_FALSE(zones_.isComplete());
   list({zone("a", 5), zone("b", 6)});
   EXPECT_TRUE(zones_.isComplete());
@@ -59,14 +59,14 @@
   EXPECT_TRUE(zones_.isComplete());
 }
 
-// Withdrawn, and asked for anew: the end of the first, told late, does not end the second.
-TEST_F(EvacuatedZonesTest, LateEndOfAnEarlierEvacuationCountsForNothing) {
+// A late message about the end of an earlier evacuation must not end a later one.
+TEST_F(EvacuatedZonesTest, LateEndOfAnEarlierEvacuationIsIgnored) {
   list({zone("a", 12)});
   zones_.onObject(zone("a", 9), true);
   EXPECT_TRUE(zones_.contains(ZoneName("a")));
 }
 
-TEST_F(EvacuatedZonesTest, ProcessThatStartsIsToldByAnother) {
+TEST_F(EvacuatedZonesTest, StartingProcessAdoptsZonesOfAPeer) {
   list({zone("a", 5)});
   EvacuatedZones started;
   started.adoptPeerCopies(zones_.copies());
@@ -74,14 +74,14 @@
   EXPECT_TRUE(started.contains(ZoneName("a")));
 }
 
-TEST_F(EvacuatedZonesTest, WhatOthersTellDoesNotUndoWhatTheStoreHasTold) {
+TEST_F(EvacuatedZonesTest, ZonesOfAPeerAreIgnoredOnceKnownFromTheStore) {
   list({});
   zones_.adoptPeerCopies({{"a", 5, "{}"}});
   EXPECT_FALSE(zones_.contains(ZoneName("a")));
 }
 
-// Operators write their wishes again after the store has come back from a copy that may lack them.
-TEST_F(EvacuatedZonesTest, ListOfALaterEraDoesNotEndWhatItLacksUntilItIsForgotten) {
+// A restored store may lack objects until operators write them again.
+TEST_F(EvacuatedZonesTest, ListingOfALaterEpochKeepsEarlierZonesUntilTheyAreDropped) {
   EvacuatedZones zones;
   zones.beginList(1);
   zones.onObject({"a", {1, 50}, "{}"}, false);
--- a/test/core_router/evacuation_ownership_test.cc
+++ b/test/core_router/evacuation_ownership_test.cc
@@ -1,6 +1,5 @@
 /// @file
-/// Keys of a zone whose servers are to get nothing: they go to other zones in order, whatever happens meanwhile, and
-/// none has two owners.
+/// Keys of an evacuated zone move to other zones under all faults, and no key has two owners.
 
 #include <gtest/gtest.h>
 
@@ -15,8 +14,8 @@
 using std::chrono::seconds;
 
 constexpr std::uint64_t kSeed = 20261203;
-/// Keys must be gone from there long before nothing may reach its servers: 1.5 s of 5 s.
-constexpr Duration kHandover = milliseconds(1500);
+/// Keys must have moved long before the evacuation is complete: 1.5 s of 5 s.
+constexpr Duration kMoveTime = milliseconds(1500);
 
 class EvacuationOwnershipTest : public ::testing::TestWithParam<GrantDelivery> {
  protected:
@@ -33,7 +32,7 @@
 
   void TearDown() override { expectNoViolations(world_); }
 
-  /// All keys are served, and none by these.
+  /// All keys are served, and none by these nodes.
   void expectServedByOthersThan(const std::vector<std::size_t>& evacuated) {
     for (const std::size_t node : evacuated) {
       EXPECT_EQ(world_.servedBy(node), 0U);
@@ -41,27 +40,27 @@
     EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
   }
 
-  /// Heartbeats come once a second: an ordered release by them takes two.
-  Duration handover() const { return GetParam() == GrantDelivery::Request ? kHandover : kHandover * 2; }
+  /// Heartbeats arrive once per second, and a release by heartbeat takes two of them.
+  Duration moveTime() const { return GetParam() == GrantDelivery::Request ? kMoveTime : kMoveTime * 2; }
 
   OwnershipWorld world_{4, kSeed, config()};
 };
 
-TEST_P(EvacuationOwnershipTest, KeysGoToOtherZonesAndAreServedThere) {
+TEST_P(EvacuationOwnershipTest, KeysMoveToOtherZonesAndAreServedThere) {
   world_.evacuate(1, true);
-  world_.run(handover());
+  world_.run(moveTime());
   expectServedByOthersThan({1});
 }
 
-TEST_P(EvacuationOwnershipTest, TwoZonesAtOnce) {
+TEST_P(EvacuationOwnershipTest, TwoZonesCanBeEvacuatedAtOnce) {
   world_.evacuate(1, true);
   world_.evacuate(2, true);
-  world_.run(handover());
+  world_.run(moveTime());
   expectServedByOthersThan({1, 2});
 }
 
-// Nothing can be served: no key may go to a server that is to get nothing.
-TEST_P(EvacuationOwnershipTest, AllZonesKeepTheirKeysAndNobodyTakesAny) {
+// No key may move to a server in an evacuated zone, even if no key can be served.
+TEST_P(EvacuationOwnershipTest, KeysDoNotMoveIfAllZonesAreEvacuated) {
   for (std::size_t node = 0; node < 4; ++node) {
     world_.evacuate(node, true);
   }
@@ -70,7 +69,7 @@
   EXPECT_LE(world_.storeChanges(), changes + 4);
 }
 
-TEST_P(EvacuationOwnershipTest, NewLifeOfAServerThereGetsNoKeys) {
+TEST_P(EvacuationOwnershipTest, RestartedServerInTheZoneGetsNoKeys) {
   world_.evacuate(1, true);
   world_.run(milliseconds(100));
   world_.killServer(1);
@@ -80,7 +79,7 @@
   expectServedByOthersThan({1});
 }
 
-TEST_P(EvacuationOwnershipTest, ProcessThatStartsMeanwhileKeepsNone) {
+TEST_P(EvacuationOwnershipTest, RestartedProcessInTheZoneKeepsNoKeys) {
   world_.evacuate(1, true);
   world_.killNode(1);
   world_.run(milliseconds(300));
@@ -89,7 +88,7 @@
   expectServedByOthersThan({1});
 }
 
-TEST_P(EvacuationOwnershipTest, WithdrawnHalfwayAllIsServed) {
+TEST_P(EvacuationOwnershipTest, AllKeysAreServedAfterARevokedEvacuation) {
   world_.evacuate(1, true);
   world_.run(milliseconds(250));
   world_.evacuate(1, false);
@@ -97,15 +96,15 @@
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
-TEST_P(EvacuationOwnershipTest, DuringAReleaseInTurnsNoKeyIsLost) {
+TEST_P(EvacuationOwnershipTest, EvacuationDuringADrainLosesNoKey) {
   world_.evacuate(1, true);
   world_.drainServer(2);
-  world_.run(handover() + seconds(1));
+  world_.run(moveTime() + seconds(1));
   expectServedByOthersThan({1, 2});
 }
 
-// Half of all orders get no answer and are carried out 2 to 12 s later, after newer ones; so are heartbeats.
-TEST_P(EvacuationOwnershipTest, LateOrdersLeaveNoKeyWithTwoOwners) {
+// Half of all commands and heartbeats get no answer and are processed 2 to 12 s later, after newer ones.
+TEST_P(EvacuationOwnershipTest, DelayedCommandsLeaveNoKeyWithTwoOwners) {
   for (std::size_t node = 0; node < 4; ++node) {
     world_.setOrderFaults(node, {false, 0.5, 0, 0});
   }
@@ -118,12 +117,12 @@
   for (std::size_t node = 0; node < 4; ++node) {
     world_.setOrderFaults(node, {});
   }
-  // The last late order comes 12 s after it was sent.
+  // The last delayed command is processed 12 s after it was sent.
   world_.run(seconds(16));
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
-INSTANTIATE_TEST_SUITE_P(BothForms, EvacuationOwnershipTest,
+INSTANTIATE_TEST_SUITE_P(BothDeliveries, EvacuationOwnershipTest,
                          ::testing::Values(GrantDelivery::Request, GrantDelivery::Heartbeat));
 
 }  // namespace
--- a/test/core_router/gained_keys_test.cc
+++ b/test/core_router/gained_keys_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// What is expected of keys that came a moment ago.
+/// Expected request rate of recently gained keys.
 
 #include "source/core/router/gained_keys.h"
 
@@ -20,14 +20,14 @@
   return range;
 }
 
-TEST(GainedKeysTest, WhatTheGiverSawFadesWithTheMetersHalfLife) {
+TEST(GainedKeysTest, RateOfThePreviousOwnerDecaysWithTheHalfLife) {
   GainedKeys gains(seconds(1));
   gains.recordGains({gained(0, 9, 5, 40)}, kStart);
   EXPECT_DOUBLE_EQ(gains.expectedRate(kStart), 40.0);
   EXPECT_DOUBLE_EQ(gains.expectedRate(kStart + seconds(2)), 10.0);
 }
 
-TEST(GainedKeysTest, RangeIsNotedOnceHoweverOftenTheTableIsRead) {
+TEST(GainedKeysTest, RangeIsRecordedOnceIfTheTableIsReadRepeatedly) {
   GainedKeys gains(seconds(1));
   gains.recordGains({gained(0, 9, 5, 40)}, kStart);
   gains.recordGains({gained(0, 9, 5, 40)}, kStart);
@@ -36,13 +36,13 @@
   EXPECT_DOUBLE_EQ(gains.expectedRate(kStart), 48.0);
 }
 
-TEST(GainedKeysTest, RangesWithoutAGiverAreNoGain) {
+TEST(GainedKeysTest, RangeWithoutARateIsNoGain) {
   GainedKeys gains(seconds(1));
   gains.recordGains({gained(0, 9, 5, 0)}, kStart);
   EXPECT_FALSE(gains.gainedWithin(seconds(3), {0, 9}, kStart));
 }
 
-TEST(GainedKeysTest, KeysAreNewForAWhile) {
+TEST(GainedKeysTest, KeysCountAsGainedOnlyForTheGivenAge) {
   GainedKeys gains(seconds(1));
   gains.recordGains({gained(10, 19, 5, 40)}, kStart);
   EXPECT_TRUE(gains.gainedWithin(seconds(3), {0, 10}, kStart + seconds(2)));
