--- a/test/core_router/heartbeat_grants_test.cc
+++ b/test/core_router/heartbeat_grants_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Grants in acknowledgements of heartbeats: what is told, what counts as held, when a range is let go of for sure.
+/// Grants by heartbeat: contents of acknowledgements, held ranges and the end of releases.
 
 #include "source/core/router/heartbeat_grants.h"
 
@@ -12,7 +12,7 @@
 using std::chrono::seconds;
 
 constexpr TimePoint kStart{seconds(100)};
-/// Beyond what an earlier process could have told.
+/// No grant by an earlier process lasts until then.
 constexpr TimePoint kLater = kStart + seconds(10);
 constexpr TimePoint kLeaseEnd = kStart + seconds(60);
 
@@ -51,62 +51,62 @@
       {[this](const OwnedRange& range) { superseded_.push_back(range); }, [] {}, [this] { ++newly_held_; }}};
 };
 
-TEST_F(HeartbeatGrantsTest, TellsAllThatIsWantedWithItsHandover) {
-  const auto told = acknowledge({ownRange(0, 9, 4, "h"), ownRange(20, 29, 5)}, {}, kLater);
-  ASSERT_TRUE(told);
-  ASSERT_EQ(told->ranges.size(), 2U);
-  EXPECT_EQ(told->ranges[0].handover, "h");
-  EXPECT_EQ(told->ranges[1].token, 5U);
-  EXPECT_EQ(told->hold, config_.heartbeat_hold);
+TEST_F(HeartbeatGrantsTest, AssignsAllWantedRangesWithTheirHandovers) {
+  const auto assignment = acknowledge({ownRange(0, 9, 4, "h"), ownRange(20, 29, 5)}, {}, kLater);
+  ASSERT_TRUE(assignment);
+  ASSERT_EQ(assignment->ranges.size(), 2U);
+  EXPECT_EQ(assignment->ranges[0].handover, "h");
+  EXPECT_EQ(assignment->ranges[1].token, 5U);
+  EXPECT_EQ(assignment->hold, config_.heartbeat_hold);
   EXPECT_TRUE(grants_.isHeld(5, kLater));
   EXPECT_FALSE(grants_.isHeld(15, kLater));
   EXPECT_EQ(newly_held_, 1);
 }
 
-TEST_F(HeartbeatGrantsTest, HandoverIsNotTakenTwice) {
+TEST_F(HeartbeatGrantsTest, HandoverIsNotSentAgainOnceTheRangeIsHeld) {
   const std::vector<OwnedRange> wanted = {ownRange(0, 9, 4, "h")};
   acknowledge(wanted, {}, kLater);
-  const auto told = acknowledge(wanted, {{{0, 9, 4}}, {}}, kLater + seconds(1));
-  EXPECT_EQ(told->ranges.front().handover, "");
+  const auto assignment = acknowledge(wanted, {{{0, 9, 4}}, {}}, kLater + seconds(1));
+  EXPECT_EQ(assignment->ranges.front().handover, "");
   EXPECT_EQ(newly_held_, 1);
 }
 
-TEST_F(HeartbeatGrantsTest, NothingOutlastsTheLease) {
+TEST_F(HeartbeatGrantsTest, NoGrantOutlastsTheLease) {
   lease_until_ = kLater + seconds(1);
-  const auto told = acknowledge({ownRange(0, 9, 4)}, {}, kLater);
-  ASSERT_TRUE(told);
-  EXPECT_LE(kLater + told->hold * config_.clock_drift_factor, lease_until_);
+  const auto assignment = acknowledge({ownRange(0, 9, 4)}, {}, kLater);
+  ASSERT_TRUE(assignment);
+  EXPECT_LE(kLater + assignment->hold * config_.clock_drift_factor, lease_until_);
   lease_until_ = kLater + milliseconds(100);
-  EXPECT_FALSE(acknowledge({ownRange(0, 9, 4)}, {}, kLater)) << "too little is left to tell anything";
+  EXPECT_FALSE(acknowledge({ownRange(0, 9, 4)}, {}, kLater)) << "too little of the lease is left for a grant";
 }
 
-TEST_F(HeartbeatGrantsTest, HeldIsNotReliedOnAsLongAsTheServerMayHoldIt) {
+TEST_F(HeartbeatGrantsTest, RangeCountsAsHeldForLessTimeThanTheServerMayHoldIt) {
   acknowledge({ownRange(0, 9, 4)}, {}, kLater);
   EXPECT_TRUE(grants_.isHeld(5, kLater + config_.heartbeat_hold - milliseconds(1100)));
   EXPECT_FALSE(grants_.isHeld(5, kLater + config_.heartbeat_hold - milliseconds(900)));
 }
 
-TEST_F(HeartbeatGrantsTest, ReleasedRangeIsServedUntilItIsLeftOut) {
+TEST_F(HeartbeatGrantsTest, RangeBeingReleasedIsHeldUntilItIsOmitted) {
   const OwnedRange range = ownRange(0, 9, 4);
   acknowledge({range}, {}, kLater);
   release(range);
   EXPECT_TRUE(grants_.isHeld(5, kLater + milliseconds(500)));
-  const auto told = acknowledge({}, {{{0, 9, 4}}, {}}, kLater + milliseconds(870));
-  EXPECT_TRUE(told->ranges.empty());
+  const auto assignment = acknowledge({}, {{{0, 9, 4}}, {}}, kLater + milliseconds(870));
+  EXPECT_TRUE(assignment->ranges.empty());
   EXPECT_FALSE(grants_.isHeld(5, kLater + milliseconds(870)));
   EXPECT_TRUE(released_.empty());
   acknowledge({}, {{}, {{0, 9, "h-1"}}}, kLater + milliseconds(970));
   EXPECT_EQ(released_, std::vector<std::string>{"h-1"});
 }
 
-TEST_F(HeartbeatGrantsTest, WantedRangeThatIsBeingReleasedIsNotTold) {
+TEST_F(HeartbeatGrantsTest, WantedRangeThatIsBeingReleasedIsNotAssigned) {
   const OwnedRange range = ownRange(0, 9, 4);
   acknowledge({range}, {}, kLater);
   release(range);
   EXPECT_TRUE(acknowledge({range}, {{{0, 9, 4}}, {}}, kLater + seconds(1))->ranges.empty());
 }
 
-TEST_F(HeartbeatGrantsTest, ReleaseWaitsForAllItsPieces) {
+TEST_F(HeartbeatGrantsTest, ReleaseEndsOnlyAfterAllPiecesAreReleased) {
   const OwnedRange range = ownRange(0, 9, 4);
   acknowledge({range}, {}, kLater);
   release(range);
@@ -117,52 +117,51 @@
   EXPECT_EQ(released_.size(), 1U);
 }
 
-TEST_F(HeartbeatGrantsTest, WhatWasReleasedBeforeTheReleaseBeganDoesNotCount) {
+TEST_F(HeartbeatGrantsTest, ReportOfAnEarlierReleaseIsIgnored) {
   const OwnedRange range = ownRange(0, 9, 4);
   acknowledge({range}, {}, kLater);
   release(range);
-  // Of an earlier time: the server had not been told yet.
+  // An earlier release: the server has not been asked for this one yet.
   acknowledge({}, {{{0, 9, 4}}, {{0, 9, "old"}}}, kLater + milliseconds(100));
   EXPECT_TRUE(released_.empty());
 }
 
-// Seen: ranges were joined under a new token, the server said that it had
-// released an old one while it held the joined one, and a piece of that went to another server.
-TEST_F(HeartbeatGrantsTest, RangeThatIsHeldUnderANewTokenIsNotReleasedByItsOldOne) {
-  const OwnedRange joined = ownRange(0, 99, 9);
+// The release of a range under an old token must not count while the server holds the merged range under a new token.
+TEST_F(HeartbeatGrantsTest, ReleaseUnderAnOldTokenIsIgnoredWhileHeldUnderANewOne) {
+  const OwnedRange merged = ownRange(0, 99, 9);
   acknowledge({ownRange(0, 49, 4), ownRange(50, 99, 5)}, {}, kLater);
-  acknowledge({joined}, {{{0, 49, 4}, {50, 99, 5}}, {}}, kLater + milliseconds(100));
-  OwnedRange piece = joined;
+  acknowledge({merged}, {{{0, 49, 4}, {50, 99, 5}}, {}}, kLater + milliseconds(100));
+  OwnedRange piece = merged;
   piece.keys = {10, 19};
   release(piece);
   acknowledge({}, {{{0, 99, 9}, {0, 49, 4}}, {}}, kLater + milliseconds(200));
-  // Work under the old token has ended; under the new one it goes on.
+  // Work under the old token has ended; work under the new one continues.
   acknowledge({}, {{{0, 99, 9}}, {{0, 49, "old"}}}, kLater + milliseconds(300));
   EXPECT_TRUE(released_.empty());
   acknowledge({}, {{}, {{0, 99, "new"}}}, kLater + milliseconds(400));
   EXPECT_EQ(released_, std::vector<std::string>{"new"});
 }
 
-TEST_F(HeartbeatGrantsTest, UnansweredReleaseEndsWhenAllThatWasToldHasRunOut) {
+TEST_F(HeartbeatGrantsTest, UnansweredReleaseEndsWhenAllGrantsHaveExpired) {
   const OwnedRange range = ownRange(0, 9, 4);
   acknowledge({range}, {}, kLater);
   release(range);
-  const auto longest = std::chrono::duration_cast<Duration>(config_.heartbeat_hold * config_.clock_drift_factor);
-  grants_.update({}, kLeaseEnd, kLater + longest - milliseconds(1));
+  const auto max_hold = std::chrono::duration_cast<Duration>(config_.heartbeat_hold * config_.clock_drift_factor);
+  grants_.update({}, kLeaseEnd, kLater + max_hold - milliseconds(1));
   EXPECT_TRUE(released_.empty());
-  grants_.update({}, kLeaseEnd, kLater + longest);
+  grants_.update({}, kLeaseEnd, kLater + max_hold);
   EXPECT_EQ(released_.size(), 1U);
 }
 
-TEST_F(HeartbeatGrantsTest, WhatAnEarlierProcessMayHaveToldIsWaitedFor) {
+TEST_F(HeartbeatGrantsTest, ReleaseWaitsForGrantsOfAnEarlierProcess) {
   release(ownRange(0, 9, 4, "h"));
   grants_.update({}, kLeaseEnd, kStart + config_.heartbeat_hold);
   EXPECT_TRUE(released_.empty());
   grants_.update({}, kLeaseEnd, kLater);
-  EXPECT_EQ(released_, std::vector<std::string>{"h"}) << "nobody has used the last holder's handover";
+  EXPECT_EQ(released_, std::vector<std::string>{"h"}) << "the previous owner's handover is unused";
 }
 
-TEST_F(HeartbeatGrantsTest, RefusedRequestShowsThatTheKeyIsNotHeld) {
+TEST_F(HeartbeatGrantsTest, KeyIsNotHeldAfterARefusedRequest) {
   acknowledge({ownRange(0, 9, 4)}, {}, kLater);
   grants_.onKeyRefused(5);
   EXPECT_FALSE(grants_.isHeld(5, kLater));
@@ -170,7 +169,7 @@
   EXPECT_TRUE(grants_.isHeld(5, kLater + milliseconds(870)));
 }
 
-TEST_F(HeartbeatGrantsTest, RangeThatTheServerNeverReportsIsGivenANewToken) {
+TEST_F(HeartbeatGrantsTest, UnreportedRangeIsSupersededAndNotHeld) {
   const std::vector<OwnedRange> wanted = {ownRange(0, 9, 4)};
   for (int i = 0; i < 5; ++i) {
     acknowledge(wanted, {}, kLater + milliseconds(870) * i);
@@ -179,19 +178,19 @@
   EXPECT_FALSE(grants_.isHeld(5, kLater + milliseconds(870) * 4));
 }
 
-TEST_F(HeartbeatGrantsTest, RangesBeyondWhatFitsWaitAndThoseHeldStay) {
+TEST_F(HeartbeatGrantsTest, HeldRangesTakePrecedenceIfNotAllRangesFit) {
   std::vector<OwnedRange> wanted;
   for (Key i = 0; i < 200; ++i) {
     wanted.push_back(ownRange(static_cast<Key>(i * 10), static_cast<Key>(i * 10 + 9), i + 1));
   }
   const OwnedRange& last = wanted.back();
-  const auto told = acknowledge(wanted, {{{last.keys.first, last.keys.last, last.token}}, {}}, kLater);
-  EXPECT_LT(told->ranges.size(), wanted.size());
+  const auto assignment = acknowledge(wanted, {{{last.keys.first, last.keys.last, last.token}}, {}}, kLater);
+  EXPECT_LT(assignment->ranges.size(), wanted.size());
   const auto is_last = [&](const AssignedRange& range) { return range.token == last.token; };
-  EXPECT_TRUE(std::any_of(told->ranges.begin(), told->ranges.end(), is_last));
+  EXPECT_TRUE(std::any_of(assignment->ranges.begin(), assignment->ranges.end(), is_last));
 }
 
-TEST_F(HeartbeatGrantsTest, NewsIsWhatDiffersFromWhatTheServerHolds) {
+TEST_F(HeartbeatGrantsTest, AssignmentThatDiffersFromTheHeldRangesIsAChange) {
   const std::vector<OwnedRange> wanted = {ownRange(0, 9, 4), ownRange(10, 19, 4)};
   EXPECT_FALSE(grants_.wouldChange(wanted, {{{0, 19, 4}}, {}}));
   EXPECT_TRUE(grants_.wouldChange(wanted, {{{0, 9, 4}}, {}}));
@@ -200,7 +199,7 @@
   EXPECT_FALSE(grants_.wouldChange({}, {}));
 }
 
-TEST_F(HeartbeatGrantsTest, SilentServerHoldsNothingAfterAWhile) {
+TEST_F(HeartbeatGrantsTest, GrantsLapseWithoutHeartbeats) {
   acknowledge({ownRange(0, 9, 4)}, {}, kLater);
   EXPECT_FALSE(grants_.allLapsed(kLater + config_.heartbeat_hold));
   EXPECT_TRUE(grants_.allLapsed(kLater + config_.heartbeat_hold * 2));
--- a/test/core_router/heartbeat_ownership_test.cc
+++ b/test/core_router/heartbeat_ownership_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Ownership of keys that servers take by heartbeat, under faults: one owner a key, rising tokens, keys that come back.
+/// Ownership with grants by heartbeat under faults: one owner per key, increasing tokens, and recovery of all keys.
 
 #include <gtest/gtest.h>
 
@@ -13,10 +13,10 @@
 
 constexpr std::uint64_t kSeed = 20261202;
 constexpr std::size_t kNodes = 4;
-/// Runs long enough that a silent owner's keys are taken over.
-constexpr Duration kTakeover = seconds(16);
+/// Long enough for the takeover of an unreachable owner's keys.
+constexpr Duration kTakeoverTime = seconds(16);
 
-OwnershipConfig byHeartbeat() {
+OwnershipConfig heartbeatConfig() {
   OwnershipConfig config;
   config.grant_delivery = GrantDelivery::Heartbeat;
   return config;
@@ -43,30 +43,30 @@
     }
   }
 
-  OwnershipWorld world_{kNodes, kSeed, byHeartbeat()};
+  OwnershipWorld world_{kNodes, kSeed, heartbeatConfig()};
 };
 
-TEST_F(HeartbeatOwnershipTest, DividesKeysAtFirst) {
+TEST_F(HeartbeatOwnershipTest, InitialTableDividesKeysEvenly) {
   for (std::size_t node = 0; node < kNodes; ++node) {
     expectHasItsKeys(node);
   }
 }
 
-TEST_F(HeartbeatOwnershipTest, LeavingServerHandsItsKeysOver) {
+TEST_F(HeartbeatOwnershipTest, LeavingServersKeysMoveToOthers) {
   world_.drainServer(1);
   world_.run(milliseconds(1800));
   EXPECT_EQ(world_.servedBy(1), 0U);
   expectAllServed();
 }
 
-TEST_F(HeartbeatOwnershipTest, DeadServersKeysGoToOthers) {
+TEST_F(HeartbeatOwnershipTest, DeadServersKeysAreServedAgain) {
   world_.killServer(1);
   world_.startServer(1);
   world_.run(seconds(2));
   expectAllServed();
 }
 
-TEST_F(HeartbeatOwnershipTest, SilentServersKeysGoToOthersOnceTheyHaveLapsed) {
+TEST_F(HeartbeatOwnershipTest, KeysOfAServerWithoutHeartbeatsMoveAfterTheGrantsLapse) {
   world_.silenceServer(1, true);
   world_.run(seconds(8));
   EXPECT_EQ(world_.servedBy(1), 0U);
@@ -82,7 +82,7 @@
   expectAllServed();
 }
 
-TEST_F(HeartbeatOwnershipTest, RestartedProcessGoesOnWithWhatItsServerHoldsWhileTheStoreIsDown) {
+TEST_F(HeartbeatOwnershipTest, RestartedProcessKeepsHeldKeysWhileTheStoreIsDown) {
   setStoreFaults({true, 0, 0});
   world_.run(milliseconds(500));
   world_.killNode(2);
@@ -91,12 +91,12 @@
   world_.run(milliseconds(1500));
   expectHasItsKeys(2);
   world_.run(seconds(12));
-  EXPECT_EQ(world_.servedKeys(), 0U) << "no lease outlasts its time";
+  EXPECT_EQ(world_.servedKeys(), 0U) << "all leases have expired";
 }
 
-// Seen: a process that had given its keys away in order was started again, heard from
-// others a table older than that and what was left of its lease, and let its server hold the keys again.
-TEST_F(HeartbeatOwnershipTest, RestartedProcessDoesNotTakeBackWhatItGaveAwayByAnOldTable) {
+// A restarted process must not reclaim keys that it moved away, when it gets an older table and its remaining lease
+// from others.
+TEST_F(HeartbeatOwnershipTest, RestartedProcessDoesNotReclaimMovedKeysFromAnOldTable) {
   const MetadataObject before = world_.table();
   world_.drainServer(1);
   world_.run(seconds(2));
@@ -110,14 +110,15 @@
   expectAllServed();
 }
 
-// The same with a table that shows a part of the keys as given away already.
-TEST_F(HeartbeatOwnershipTest, RestartedProcessTakesNothingThatItsTableShowsAsAnothers) {
+// As above, but the table shows some of the keys as owned by another server.
+TEST_F(HeartbeatOwnershipTest, RestartedProcessDoesNotResumeKeysOwnedByOthers) {
   setStoreFaults({true, 0, 0});
   MetadataObject table = world_.table();
-  OwnerTable later = leaf::try_handle_all([&] { return OwnerTable::decode(table.value); }, [] { return OwnerTable(); });
-  const OwnedRange own = later.ownedAt(NodeName("node-1")).front();
-  later.assign(own.keys, {InstanceId("i-elsewhere"), NodeName("node-9")}, {});
-  table.value = later.encode();
+  OwnerTable changed =
+      leaf::try_handle_all([&] { return OwnerTable::decode(table.value); }, [] { return OwnerTable(); });
+  const OwnedRange own = changed.ownedAt(NodeName("node-1")).front();
+  changed.assign(own.keys, {InstanceId("i-elsewhere"), NodeName("node-9")}, {});
+  table.value = changed.encode();
   ++table.revision.count;
   world_.killNode(1);
   world_.restartNodeTold(1, table);
@@ -126,22 +127,22 @@
   EXPECT_GT(world_.servedBy(1), 0U);
 }
 
-TEST_F(HeartbeatOwnershipTest, SilentNodesKeysAreTakenOver) {
+TEST_F(HeartbeatOwnershipTest, UnreachableNodesKeysAreTakenOver) {
   world_.killNode(3);
-  world_.run(kTakeover);
+  world_.run(kTakeoverTime);
   expectAllServed();
 }
 
-TEST_F(HeartbeatOwnershipTest, PausedNodeFindsItsKeysGone) {
+TEST_F(HeartbeatOwnershipTest, PausedNodesKeysAreTakenOver) {
   world_.pauseNode(0);
-  world_.run(kTakeover);
+  world_.run(kTakeoverTime);
   expectAllServed();
   world_.resumeNode(0);
   world_.run(seconds(5));
   expectAllServed();
 }
 
-TEST_F(HeartbeatOwnershipTest, LateAndRepeatedHeartbeatsBringNothingBack) {
+TEST_F(HeartbeatOwnershipTest, DelayedAndRepeatedHeartbeatsRestoreNoOldState) {
   setOrderFaults({false, 0.3, 0, 0.5});
   for (const std::size_t node : {1U, 2U}) {
     world_.drainServer(node);
@@ -154,7 +155,7 @@
   expectAllServed();
 }
 
-TEST_F(HeartbeatOwnershipTest, LostAcknowledgementsLoseNoHandover) {
+TEST_F(HeartbeatOwnershipTest, LostAcknowledgementsLoseNoKey) {
   setOrderFaults({false, 0, 0.4, 0});
   world_.drainServer(1);
   world_.run(seconds(8));
@@ -173,7 +174,7 @@
   expectAllServed();
 }
 
-TEST_F(HeartbeatOwnershipTest, KeysAreServedWhileTheirMoveIsBeingWritten) {
+TEST_F(HeartbeatOwnershipTest, KeysAreServedDuringAMove) {
   const Key busy = 100;
   world_.setOccupancy(0, 1.2);
   for (std::size_t node = 1; node < kNodes; ++node) {
@@ -187,12 +188,12 @@
   expectAllServed();
 }
 
-/// Faults of all kinds at random times, on seeds that the test names.
+/// Random faults of all kinds, with the seed as parameter.
 class HeartbeatOwnershipSoakTest : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(HeartbeatOwnershipSoakTest, KeepsOneOwnerUnderRandomFaults) {
   constexpr int kSteps = 40;
-  OwnershipWorld world(kNodes, GetParam(), byHeartbeat());
+  OwnershipWorld world(kNodes, GetParam(), heartbeatConfig());
   SeededRandom random(GetParam() + 1);
   std::vector<bool> dead(kNodes, false);
   std::vector<bool> without_server(kNodes, false);
--- a/test/core_router/heartbeat_responder_test.cc
+++ b/test/core_router/heartbeat_responder_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// When heartbeats are acknowledged.
+/// Time at which heartbeats are acknowledged.
 
 #include "source/core/router/heartbeat_responder.h"
 
@@ -18,44 +18,44 @@
     HeartbeatResponder::Ports ports;
     ports.clock = &time_;
     ports.assign = [](const KeyReport&, TimePoint) { return KeyAssignment{}; };
-    ports.would_change = [this](const KeyReport&) { return news_; };
+    ports.would_change = [this](const KeyReport&) { return would_change_; };
     ports.on_acknowledged = [this] { ++acknowledged_; };
     return ports;
   }
 
-  void take() {
+  void sendHeartbeat() {
     responder_.onHeartbeat({},
                            [this](const std::optional<KeyAssignment>& keys) { replies_.push_back(keys.has_value()); });
   }
 
   sim::VirtualTime time_;
   Duration max_wait_ = milliseconds(600);
-  bool news_ = false;
+  bool would_change_ = false;
   int acknowledged_ = 0;
-  /// Whether each reply told of keys.
+  /// Whether each reply contained keys.
   std::vector<bool> replies_;
   HeartbeatResponder responder_{max_wait_, ports()};
 };
 
-TEST_F(HeartbeatResponderTest, NewsIsToldAtOnce) {
-  news_ = true;
-  take();
+TEST_F(HeartbeatResponderTest, ChangeIsAcknowledgedAtOnce) {
+  would_change_ = true;
+  sendHeartbeat();
   EXPECT_EQ(replies_, std::vector<bool>{true});
   EXPECT_EQ(acknowledged_, 1);
 }
 
-TEST_F(HeartbeatResponderTest, WithoutNewsItWaitsForSome) {
-  take();
+TEST_F(HeartbeatResponderTest, AcknowledgementWaitsForAChange) {
+  sendHeartbeat();
   time_.runFor(milliseconds(300), [] {});
   responder_.respondIfDue();
   EXPECT_TRUE(replies_.empty());
-  news_ = true;
+  would_change_ = true;
   responder_.respondIfDue();
   EXPECT_EQ(replies_, std::vector<bool>{true});
 }
 
-TEST_F(HeartbeatResponderTest, NoHeartbeatWaitsLongerThanItsLimit) {
-  take();
+TEST_F(HeartbeatResponderTest, AcknowledgementIsSentAfterTheMaximumWait) {
+  sendHeartbeat();
   time_.runFor(milliseconds(600), [] {});
   responder_.respondIfDue();
   EXPECT_EQ(replies_, std::vector<bool>{true});
@@ -63,18 +63,18 @@
   EXPECT_EQ(replies_.size(), 1U);
 }
 
-TEST_F(HeartbeatResponderTest, EarlierHeartbeatIsToldNothingOnceALaterOneIsThere) {
-  take();
-  take();
+TEST_F(HeartbeatResponderTest, PendingHeartbeatIsAcknowledgedWithoutKeysWhenALaterOneArrives) {
+  sendHeartbeat();
+  sendHeartbeat();
   EXPECT_EQ(replies_, std::vector<bool>{false});
-  news_ = true;
+  would_change_ = true;
   responder_.respondIfDue();
   EXPECT_EQ(replies_, (std::vector<bool>{false, true}));
 }
 
-TEST_F(HeartbeatResponderTest, WithoutAWaitEveryHeartbeatIsAcknowledgedAtOnce) {
+TEST_F(HeartbeatResponderTest, ZeroWaitAcknowledgesEveryHeartbeatAtOnce) {
   max_wait_ = Duration::zero();
-  take();
+  sendHeartbeat();
   EXPECT_EQ(replies_, std::vector<bool>{true});
 }
 
--- a/test/core_router/owner_table_test.cc
+++ b/test/core_router/owner_table_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The owner table's changes, its text, and the meter of work a key.
+/// Changes and encoding of the owner table, and the load meter of keys.
 
 #include "source/core/router/owner_table.h"
 
@@ -23,7 +23,7 @@
   return leaf::try_handle_all([&] { return decoded(text); }, [] { return OwnerTable(); });
 }
 
-TEST(OwnerTableTest, FirstDivisionCoversAllKeys) {
+TEST(OwnerTableTest, InitialTableCoversAllKeys) {
   const OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond, kThird});
   ASSERT_EQ(table.ranges().size(), 3U);
   std::uint32_t keys = 0;
@@ -35,8 +35,8 @@
   EXPECT_EQ(table.find(kKeyCount - 1)->owner, kThird.instance);
 }
 
-// Seen: the busiest keys lie close together, and fell to one server at first.
-TEST(OwnerTableTest, FirstDivisionMayGiveRangesInTurn) {
+// The most requested keys lie close together and must not all go to one server.
+TEST(OwnerTableTest, InitialTableAssignsRangesInTurn) {
   const OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond}, 3);
   ASSERT_EQ(table.ranges().size(), 6U);
   std::uint32_t keys = 0;
@@ -47,7 +47,7 @@
   EXPECT_EQ(keys, kKeyCount);
 }
 
-TEST(OwnerTableTest, ReleaseLeavesRoomForItsOwnToken) {
+TEST(OwnerTableTest, TokenAfterAReleaseIsHigherThanTheReleaseToken) {
   OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond});
   const auto released = table.beginRelease({100, 199}, kFirst.instance);
   ASSERT_TRUE(released);
@@ -59,7 +59,7 @@
   EXPECT_GT(moved->token, released->token + 1);
 }
 
-TEST(OwnerTableTest, OnlyTheOwnerReleasesAndOnlyOnce) {
+TEST(OwnerTableTest, OnlyTheOwnerCanReleaseARangeAndOnlyOnce) {
   OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond});
   EXPECT_FALSE(table.beginRelease({100, 199}, kSecond.instance));
   EXPECT_FALSE(table.beginRelease({32000, 33000}, kFirst.instance)) << "spans two ranges";
@@ -67,7 +67,7 @@
   EXPECT_FALSE(table.beginRelease({100, 199}, kFirst.instance));
 }
 
-TEST(OwnerTableTest, AbortedReleaseRaisesTheToken) {
+TEST(OwnerTableTest, AbortedReleaseIncreasesTheToken) {
   OwnerTable table = OwnerTable::divideEvenly({kFirst});
   const auto released = table.beginRelease({0, 9}, kFirst.instance);
   table.abortRelease({0, 9});
@@ -75,7 +75,7 @@
   EXPECT_GT(table.find(5)->token, released->token + 1);
 }
 
-TEST(OwnerTableTest, JoinsNeighboursUnderAHigherToken) {
+TEST(OwnerTableTest, MergesAdjacentRangesUnderAHigherToken) {
   OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond});
   table.beginRelease({32768, 40000}, kSecond.instance);
   table.assign({32768, 40000}, kFirst, {});
@@ -86,7 +86,7 @@
   EXPECT_FALSE(table.mergeAdjacentRanges(kFirst.instance));
 }
 
-TEST(OwnerTableTest, TextThatIsNoTableIsRefused) {
+TEST(OwnerTableTest, InvalidTextIsRejected) {
   for (const char* text :
        {"", "[]", "{}", R"({"last_token":1,"owners":[],"ranges":[]})",
         R"({"last_token":1,"owners":[],"ranges":[[5,0,1]]})",
@@ -96,7 +96,7 @@
   }
 }
 
-RC_GTEST_PROP(OwnerTableProperty, TextBringsTheSameTableBackAndTokensRise, (const std::vector<std::uint16_t>& cuts)) {
+RC_GTEST_PROP(OwnerTableProperty, DecodingRestoresTheTableAndTokensIncrease, (const std::vector<std::uint16_t>& cuts)) {
   OwnerTable table = OwnerTable::divideEvenly({kFirst, kSecond, kThird});
   const std::vector<OwnerLocation> places = {kFirst, kSecond, kThird};
   for (const std::uint16_t cut : cuts) {
@@ -110,7 +110,7 @@
   }
 }
 
-TEST(KeyMeterTest, OldWorkCountsLess) {
+TEST(KeyMeterTest, OldLoadDecays) {
   KeyMeter meter(seconds(2));
   const TimePoint start{seconds(1)};
   meter.add(7, 8.0, start);
@@ -120,7 +120,7 @@
   EXPECT_NEAR(meter.sum({7, 7}, start + seconds(200)), 1.0, 1e-6);
 }
 
-TEST(KeyMeterTest, CutsAnEndOfAboutTheWantedWork) {
+TEST(KeyMeterTest, CutsAnEndWithAboutTheWantedLoad) {
   KeyMeter meter(seconds(2));
   const TimePoint now{seconds(1)};
   for (Key key = 100; key < 200; ++key) {
@@ -132,25 +132,25 @@
   EXPECT_TRUE(cut->first == 0 || cut->last == 999);
 }
 
-TEST(KeyMeterTest, OneKeyThatBringsTooMuchIsNotCut) {
+TEST(KeyMeterTest, KeyAboveTheMaximumIsNotCut) {
   KeyMeter meter(seconds(2));
   const TimePoint now{seconds(1)};
   meter.add(500, 100.0, now);
   EXPECT_FALSE(meter.cutFromEnd({0, 999}, 10.0, 15.0, now));
 }
 
-TEST(KeyMeterTest, SplitsIntoRunsOfLikeWork) {
+TEST(KeyMeterTest, SplitsIntoRangesOfEqualLoad) {
   KeyMeter meter(seconds(2));
   const TimePoint now{seconds(1)};
   for (Key key = 100; key < 200; ++key) {
     meter.add(key, 1.0, now);
   }
-  const auto runs = meter.split({0, 999}, 4, now);
-  ASSERT_EQ(runs.size(), 4U);
-  EXPECT_EQ(runs.front().first, 0);
-  EXPECT_EQ(runs.back().last, 999);
-  for (const KeyRange& run : runs) {
-    EXPECT_NEAR(meter.sum(run, now), 25.0, 1.0);
+  const auto parts = meter.split({0, 999}, 4, now);
+  ASSERT_EQ(parts.size(), 4U);
+  EXPECT_EQ(parts.front().first, 0);
+  EXPECT_EQ(parts.back().last, 999);
+  for (const KeyRange& part : parts) {
+    EXPECT_NEAR(meter.sum(part, now), 25.0, 1.0);
   }
   EXPECT_EQ(meter.split({2000, 2999}, 4, now).size(), 1U);
 }
--- a/test/core_router/owner_view_test.cc
+++ b/test/core_router/owner_view_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Hints of newer owner tables.
+/// Hints from newer owner tables.
 
 #include "source/core/router/owner_view.h"
 
@@ -16,14 +16,14 @@
   return {revision, first, last, InstanceId(owner), NodeName("at-" + owner)};
 }
 
-TEST(OwnerViewTest, WithoutHintsTheTableSays) {
+TEST(OwnerViewTest, TableIsUsedWithoutHints) {
   OwnerView view;
   EXPECT_EQ(view.find(5, kTable, kRevision).instance.value, "i-1");
   EXPECT_EQ(view.find(40000, kTable, kRevision).node.value, "n-2");
   EXPECT_TRUE(view.find(5, OwnerTable(), 0).instance.empty());
 }
 
-TEST(OwnerViewTest, NewerHintGoesBeforeTheTableForItsKeysAlone) {
+TEST(OwnerViewTest, NewerHintOverridesTheTableForItsKeysOnly) {
   OwnerView view;
   view.addHint(hint(11, 100, 199, "i-9"), kRevision);
   EXPECT_EQ(view.find(99, kTable, kRevision).instance.value, "i-1");
@@ -38,14 +38,14 @@
   EXPECT_EQ(view.find(150, kTable, kRevision).instance.value, "i-1");
 }
 
-TEST(OwnerViewTest, NewerTableGoesBeforeTheHint) {
+TEST(OwnerViewTest, NewerTableOverridesTheHint) {
   OwnerView view;
   view.addHint(hint(11, 100, 199, "i-9"), kRevision);
   EXPECT_EQ(view.find(150, kTable, 11).instance.value, "i-1");
-  EXPECT_EQ(view.find(150, kTable, kRevision).instance.value, "i-1") << "forgotten for good";
+  EXPECT_EQ(view.find(150, kTable, kRevision).instance.value, "i-1") << "the hint was dropped";
 }
 
-TEST(OwnerViewTest, OfTwoHintsTheNewerCounts) {
+TEST(OwnerViewTest, NewerOfTwoHintsIsUsed) {
   OwnerView view;
   view.addHint(hint(12, 100, 199, "i-8"), kRevision);
   view.addHint(hint(11, 150, 250, "i-9"), kRevision);
--- a/test/core_router/ownership_test.cc
+++ b/test/core_router/ownership_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Ownership of keys under faults: one owner a key, rising tokens, and keys that come back.
+/// Ownership under faults: one owner per key, increasing tokens, and recovery of all keys.
 
 #include <gtest/gtest.h>
 
@@ -13,8 +13,8 @@
 
 constexpr std::uint64_t kSeed = 20261202;
 
-/// Runs long enough that a silent owner's keys are taken over.
-constexpr Duration kTakeover = seconds(14);
+/// Long enough for the takeover of an unreachable owner's keys.
+constexpr Duration kTakeoverTime = seconds(14);
 
 class OwnershipTest : public ::testing::Test {
  protected:
@@ -29,20 +29,20 @@
   OwnershipWorld world_{4, kSeed};
 };
 
-TEST_F(OwnershipTest, DividesKeysEvenlyAtFirst) {
+TEST_F(OwnershipTest, InitialTableDividesKeysEvenly) {
   for (std::size_t node = 0; node < 4; ++node) {
     EXPECT_EQ(world_.servedBy(node), world_.sampledKeys() / 4);
   }
 }
 
-TEST_F(OwnershipTest, DeadServersKeysGoToOthersWithinASecond) {
+TEST_F(OwnershipTest, DeadServersKeysMoveWithinASecond) {
   world_.killServer(1);
   world_.run(seconds(1));
   EXPECT_EQ(world_.servedBy(1), 0U);
   expectAllServed();
 }
 
-TEST_F(OwnershipTest, RestartedProcessTakesItsKeysUpAgain) {
+TEST_F(OwnershipTest, RestartedProcessKeepsItsKeys) {
   world_.killNode(2);
   world_.run(seconds(1));
   world_.restartNode(2);
@@ -51,15 +51,15 @@
   expectAllServed();
 }
 
-TEST_F(OwnershipTest, SilentNodesKeysAreTakenOver) {
+TEST_F(OwnershipTest, UnreachableNodesKeysAreTakenOver) {
   world_.killNode(3);
-  world_.run(kTakeover);
+  world_.run(kTakeoverTime);
   expectAllServed();
 }
 
-TEST_F(OwnershipTest, PausedNodeFindsItsKeysGone) {
+TEST_F(OwnershipTest, PausedNodesKeysAreTakenOver) {
   world_.pauseNode(0);
-  world_.run(kTakeover);
+  world_.run(kTakeoverTime);
   expectAllServed();
   world_.resumeNode(0);
   world_.run(seconds(5));
@@ -75,14 +75,14 @@
   expectAllServed();
 }
 
-TEST_F(OwnershipTest, DrainHandsAllKeysOver) {
+TEST_F(OwnershipTest, DrainMovesAllKeys) {
   world_.drainServer(1);
   world_.run(milliseconds(800));
   EXPECT_EQ(world_.servedBy(1), 0U);
   expectAllServed();
 }
 
-TEST_F(OwnershipTest, NewLifeOfAServerTakesTheKeysOfTheOld) {
+TEST_F(OwnershipTest, RestartedServerReclaimsItsKeys) {
   world_.killServer(1);
   world_.startServer(1);
   world_.run(seconds(1));
@@ -90,9 +90,8 @@
   expectAllServed();
 }
 
-// Seen: after all machines had lost power, requests named the servers' earlier lives and were refused
-// for seconds, until their gateways had read the table again.
-TEST_F(OwnershipTest, WhoAsksForAnEarlierLifeIsToldTheNewOne) {
+// A request for an earlier instance of a server must get a hint to the new instance at once.
+TEST_F(OwnershipTest, HintNamesTheNewInstanceAfterARestart) {
   const Key key = 1;
   const OwnerHint before = world_.hint(0, key);
   world_.killServer(0);
@@ -104,7 +103,7 @@
   EXPECT_FALSE(after.owner.empty());
 }
 
-TEST_F(OwnershipTest, StoreDownForAllKeepsKeysWhileTheLeaseLasts) {
+TEST_F(OwnershipTest, KeysAreServedUnderTheLeaseWhileTheStoreIsDown) {
   for (std::size_t node = 0; node < 4; ++node) {
     world_.setStoreFaults(node, {true, 0, 0});
   }
@@ -112,9 +111,8 @@
   expectAllServed();
 }
 
-// Seen: an owner's process was killed while the store was down; its keys were refused for as long as
-// that lasted.
-TEST_F(OwnershipTest, RestartedOwnerGoesOnWithItsLeaseWhileTheStoreIsDown) {
+// An owner whose process restarts while the store is down must keep serving its keys under its lease.
+TEST_F(OwnershipTest, RestartedOwnerKeepsItsLeaseWhileTheStoreIsDown) {
   for (std::size_t node = 0; node < 4; ++node) {
     world_.setStoreFaults(node, {true, 0, 0});
   }
@@ -125,10 +123,10 @@
   world_.run(seconds(1));
   expectAllServed();
   world_.run(seconds(12));
-  EXPECT_EQ(world_.servedKeys(), 0U) << "no lease outlasts its time";
+  EXPECT_EQ(world_.servedKeys(), 0U) << "all leases have expired";
 }
 
-TEST_F(OwnershipTest, RestartedOwnerHoldsNothingWithoutALease) {
+TEST_F(OwnershipTest, RestartedOwnerServesNothingWithoutALease) {
   for (std::size_t node = 0; node < 4; ++node) {
     world_.setStoreFaults(node, {true, 0, 0});
   }
@@ -154,7 +152,7 @@
   expectAllServed();
 }
 
-TEST_F(OwnershipTest, OrdersCarriedOutLateHarmNothing) {
+TEST_F(OwnershipTest, DelayedCommandsLoseNoKey) {
   for (std::size_t node = 0; node < 4; ++node) {
     world_.setOrderFaults(node, {false, 0.4});
   }
@@ -168,7 +166,7 @@
   expectAllServed();
 }
 
-TEST_F(OwnershipTest, BusyOwnerGivesWorkToAnIdleOne) {
+TEST_F(OwnershipTest, BusyOwnerMovesLoadToAnIdleServer) {
   const Key busy = 100;
   world_.setOccupancy(0, 1.2);
   for (std::size_t node = 1; node < 4; ++node) {
@@ -182,9 +180,8 @@
   expectAllServed();
 }
 
-// Seen: two owners with seven ranges each, none beside another, tried to join them for good and gave
-// nothing away any more.
-TEST_F(OwnershipTest, OwnerOfManyScatteredRangesStillGivesWorkAway) {
+// Ranges that are not adjacent cannot be merged; this must not keep their owner from moving load away.
+TEST_F(OwnershipTest, OwnerOfManyScatteredRangesStillMovesLoad) {
   world_.scatterRanges(0, 1, 16);
   world_.run(seconds(2));
   const std::size_t before = world_.servedBy(0);
@@ -200,16 +197,16 @@
   expectAllServed();
 }
 
-// Seen: a server whose health was good failed all its requests, and kept its keys.
-TEST_F(OwnershipTest, FailingServersKeysGoToSounderOnes) {
+// A server can pass its health checks and still fail all requests.
+TEST_F(OwnershipTest, FailingServersKeysMoveToHealthyServers) {
   world_.setFailing(1, 0.9);
   world_.run(seconds(2));
   EXPECT_EQ(world_.servedBy(1), 0U);
   expectAllServed();
 }
 
-TEST_F(OwnershipTest, ServersThatAllFailAlikeKeepTheirKeys) {
-  // Replies tell it again and again.
+TEST_F(OwnershipTest, KeysDoNotMoveIfAllServersFailAlike) {
+  // Replies repeat the ratio.
   for (int round = 0; round < 10; ++round) {
     for (std::size_t node = 0; node < 4; ++node) {
       world_.setFailing(node, 0.8);
@@ -221,7 +218,7 @@
   }
 }
 
-TEST_F(OwnershipTest, DeadServersKeysDontGoToAFailingOne) {
+TEST_F(OwnershipTest, DeadServersKeysDoNotMoveToAFailingServer) {
   world_.setFailing(3, 0.9);
   world_.killServer(1);
   world_.run(seconds(1));
@@ -229,8 +226,8 @@
   expectAllServed();
 }
 
-// Three owners that each give the larger part of the difference to one idle server would bury it.
-TEST_F(OwnershipTest, OwnersTogetherDoNotBuryAnIdleServer) {
+// Three owners that each moved most of their excess to one idle server would overload it.
+TEST_F(OwnershipTest, OwnersTogetherDoNotOverloadAnIdleServer) {
   world_.killServer(3);
   world_.run(seconds(2));
   world_.startServer(3);
@@ -247,9 +244,8 @@
   expectAllServed();
 }
 
-// Seen: a machine went for good, its keys
-// were taken over; after all others had been killed they gave it keys again, by its old record.
-TEST_F(OwnershipTest, KeysAreNotGivenToANodeKnownByItsRecordAlone) {
+// Records of removed nodes stay in the store; such a node must not get keys.
+TEST_F(OwnershipTest, KeysDoNotMoveToANodeKnownOnlyFromItsRecord) {
   const std::size_t gone = 3;
   world_.killNode(gone);
   world_.run(seconds(14));
@@ -271,7 +267,7 @@
   expectAllServed();
 }
 
-/// Faults of all kinds at random times, on seeds that the test names.
+/// Random faults of all kinds, with the seed as parameter.
 class OwnershipSoakTest : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(OwnershipSoakTest, KeepsOneOwnerUnderRandomFaults) {
--- a/test/core_router/report_filter_test.cc
+++ b/test/core_router/report_filter_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Which reports of a server count.
+/// Acceptance and rejection of server reports.
 
 #include "source/core/router/report_filter.h"
 
@@ -17,7 +17,7 @@
   return made;
 }
 
-TEST(ReportFilterTest, LateAndForeignReportsDontCount) {
+TEST(ReportFilterTest, LateAndForeignReportsAreRejected) {
   ReportFilter filter(ServiceName("s"), {"10.0.0.1", 80});
   EXPECT_TRUE(filter.accept(report("i-1", 4)));
   EXPECT_FALSE(filter.accept(report("i-1", 4)));
@@ -34,22 +34,22 @@
   EXPECT_FALSE(filter.accept(other));
 }
 
-TEST(ReportFilterTest, OfOneServersLivesOnlyTheLatestCounts) {
+TEST(ReportFilterTest, OnlyReportsOfTheLatestInstanceAreAccepted) {
   ReportFilter filter(ServiceName("s"), {"10.0.0.1", 80});
-  const auto life = [](ServerStart start, std::uint64_t sequence) {
+  const auto instance_report = [](ServerStart start, std::uint64_t sequence) {
     ServerReport made = report("i-1", sequence);
     made.start = start;
     made.instance = lifeOf(ServerId("i-1"), start);
     return made;
   };
-  EXPECT_TRUE(filter.accept(life(2000, 5)));
-  EXPECT_TRUE(filter.accept(life(3000, 1)));
-  EXPECT_TRUE(filter.accept(life(3000, 2)));
-  EXPECT_FALSE(filter.accept(life(2000, 6)));
-  EXPECT_FALSE(filter.accept(report("i-1", 99))) << "a report without a start, of a server that tells it";
+  EXPECT_TRUE(filter.accept(instance_report(2000, 5)));
+  EXPECT_TRUE(filter.accept(instance_report(3000, 1)));
+  EXPECT_TRUE(filter.accept(instance_report(3000, 2)));
+  EXPECT_FALSE(filter.accept(instance_report(2000, 6)));
+  EXPECT_FALSE(filter.accept(report("i-1", 99))) << "a report without a start from a server that reports its start";
 }
 
-TEST(ReportFilterTest, ReportsWithoutANumberCount) {
+TEST(ReportFilterTest, ReportsWithoutANumberAreAccepted) {
   ReportFilter filter(ServiceName("s"), {"10.0.0.1", 80});
   ServerReport unnumbered = report("i-1", 0);
   unnumbered.sequence.reset();
--- a/test/core_router/restorable_store_test.cc
+++ b/test/core_router/restorable_store_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Eras of a store that comes back from a copy are kept apart, whatever the counts of its revisions.
+/// Epochs of a restored store are kept apart, whatever the numbers of its revisions.
 
 #include "source/core/router/restorable_store.h"
 
@@ -15,51 +15,52 @@
 class RestorableStoreTest : public ::testing::Test {
  protected:
   /// The store answers a read in that epoch.
-  void hear(StoreEra epoch) {
+  void answerInEpoch(StoreEra epoch) {
     store_.get("k", "other", [](const StoreAnswer&) {});
     raw_.gets.back().done({StoreStatus::Absent, {}, epoch});
   }
 
-  MetadataStore::AnswerCallback keep() {
+  MetadataStore::AnswerCallback recordAnswer() {
     return [this](const StoreAnswer& answer) { answer_ = answer; };
   }
 
-  MetadataStore::WatchCallback keepWatch() {
+  MetadataStore::WatchCallback recordWatch() {
     return [this](const WatchResult& answer) { watched_ = answer; };
   }
 
   ScriptedStore raw_;
   std::vector<std::pair<StoreEra, StoreEra>> restored_;
-  int untold_ = 0;
+  int epoch_missing_ = 0;
   std::optional<StoreAnswer> answer_;
   std::optional<WatchResult> watched_;
   RestorableStore store_{
-      raw_, {[this](StoreEra before, StoreEra now) { restored_.emplace_back(before, now); }, [this] { ++untold_; }}};
+      raw_,
+      {[this](StoreEra before, StoreEra now) { restored_.emplace_back(before, now); }, [this] { ++epoch_missing_; }}};
 };
 
-TEST_F(RestorableStoreTest, TellsOfARiseButNotOfTheFirstEra) {
-  hear(3);
+TEST_F(RestorableStoreTest, LaterEpochIsReportedButNotTheFirst) {
+  answerInEpoch(3);
   EXPECT_TRUE(restored_.empty());
-  hear(4);
+  answerInEpoch(4);
   store_.observePeerEpoch(4);
   store_.observePeerEpoch(6);
   EXPECT_EQ(restored_, (std::vector<std::pair<StoreEra, StoreEra>>{{3, 4}, {4, 6}}));
 }
 
-TEST_F(RestorableStoreTest, RevisionsCarryTheEraOfTheirAnswer) {
-  hear(3);
-  store_.get("k", "n", keep());
+TEST_F(RestorableStoreTest, RevisionsHaveTheEpochOfTheirAnswer) {
+  answerInEpoch(3);
+  store_.get("k", "n", recordAnswer());
   raw_.gets.back().done({StoreStatus::Done, {"n", 7, "{}"}, 3});
   EXPECT_EQ(answer_->object.revision, StoreRevision(3, 7));
   EXPECT_GT(StoreRevision(4, 1), answer_->object.revision);
 }
 
-TEST_F(RestorableStoreTest, AnswerOfAnEraThatIsOverIsLost) {
-  store_.replace("k", {"n", {3, 7}, "{}"}, keep());
-  hear(4);
+TEST_F(RestorableStoreTest, AnswerOfAnEarlierEpochIsReportedAsLost) {
+  store_.replace("k", {"n", {3, 7}, "{}"}, recordAnswer());
+  answerInEpoch(4);
   raw_.replaces.back().done({StoreStatus::Done, {"n", 8, "{}"}, 3});
   EXPECT_EQ(answer_->status, StoreStatus::Unknown);
-  store_.watch("k", {4, 1}, {}, keepWatch());
+  store_.watch("k", {4, 1}, {}, recordWatch());
   raw_.watches.back().done({WatchStatus::Events, 9, {}, 3});
   EXPECT_EQ(watched_->status, WatchStatus::Unavailable);
   bool available = true;
@@ -68,55 +69,55 @@
   EXPECT_FALSE(available);
 }
 
-// Another object, or another state of this one, may have been given the same count.
-TEST_F(RestorableStoreTest, ConditionOfAnEraThatIsOverDoesNotHold) {
-  hear(4);
-  store_.replace("k", {"n", {3, 7}, "mine"}, keep());
+// Another object, or another state of this one, may have the same revision number.
+TEST_F(RestorableStoreTest, ConditionOfAnEarlierEpochIsNotMet) {
+  answerInEpoch(4);
+  store_.replace("k", {"n", {3, 7}, "mine"}, recordAnswer());
   EXPECT_TRUE(raw_.replaces.empty());
   raw_.gets.back().done({StoreStatus::Done, {"n", 7, "another's"}, 4});
   EXPECT_EQ(answer_->status, StoreStatus::Conflict);
   EXPECT_EQ(answer_->object.revision, StoreRevision(4, 7));
   EXPECT_EQ(answer_->object.value, "another's");
-  store_.remove("k", "n", {3, 7}, keep());
+  store_.remove("k", "n", {3, 7}, recordAnswer());
   EXPECT_TRUE(raw_.removes.empty());
   raw_.gets.back().done({StoreStatus::Absent, {}, 4});
   EXPECT_EQ(answer_->status, StoreStatus::Absent);
 }
 
-TEST_F(RestorableStoreTest, WriteUnderWayWhoseConditionMatchesByChanceIsToldAsAConflict) {
-  hear(3);
-  store_.replace("k", {"n", {3, 7}, "mine"}, keep());
+TEST_F(RestorableStoreTest, WriteDuringARestoreIsAConflictEvenIfItsConditionMatches) {
+  answerInEpoch(3);
+  store_.replace("k", {"n", {3, 7}, "mine"}, recordAnswer());
   raw_.replaces.back().done({StoreStatus::Done, {"n", 8, "mine"}, 4});
   EXPECT_EQ(answer_->status, StoreStatus::Conflict);
   EXPECT_EQ(answer_->object.revision, StoreRevision(4, 8));
 }
 
-TEST_F(RestorableStoreTest, UnconditionalWritesAreDoneInAnyEra) {
-  hear(4);
-  store_.replace("k", {"n", {}, "mine"}, keep());
+TEST_F(RestorableStoreTest, UnconditionalWritesSucceedInAnyEpoch) {
+  answerInEpoch(4);
+  store_.replace("k", {"n", {}, "mine"}, recordAnswer());
   raw_.replaces.back().done({StoreStatus::Done, {"n", 8, "mine"}, 5});
   EXPECT_EQ(answer_->status, StoreStatus::Done);
 }
 
-TEST_F(RestorableStoreTest, ChangesSinceARevisionOfAnEraThatIsOverCantBeTold) {
-  hear(3);
-  store_.watch("k", {3, 7}, {}, keepWatch());
+TEST_F(RestorableStoreTest, WatchFromARevisionOfAnEarlierEpochReturnsHistoryGone) {
+  answerInEpoch(3);
+  store_.watch("k", {3, 7}, {}, recordWatch());
   raw_.watches.back().done({WatchStatus::Events, 9, {{false, {"n", 8, "{}"}}}, 4});
   EXPECT_EQ(watched_->status, WatchStatus::HistoryGone);
-  store_.check("k", {3, 7}, keepWatch());
+  store_.check("k", {3, 7}, recordWatch());
   raw_.checks.back().done({WatchStatus::Events, 9, {}, 4});
   EXPECT_EQ(watched_->status, WatchStatus::HistoryGone);
 }
 
-TEST_F(RestorableStoreTest, AnswerWithoutAnEraIsOfThePresentOne) {
-  hear(3);
-  store_.get("k", "n", keep());
+TEST_F(RestorableStoreTest, AnswerWithoutAnEpochIsOfThePresentOne) {
+  answerInEpoch(3);
+  store_.get("k", "n", recordAnswer());
   raw_.gets.back().done({StoreStatus::Done, {"n", 7, "{}"}, 0});
   EXPECT_EQ(answer_->object.revision, StoreRevision(3, 7));
-  EXPECT_EQ(untold_, 1);
-  store_.get("k", "n", keep());
+  EXPECT_EQ(epoch_missing_, 1);
+  store_.get("k", "n", recordAnswer());
   raw_.gets.back().done({});
-  EXPECT_EQ(untold_, 1) << "no answer at all";
+  EXPECT_EQ(epoch_missing_, 1) << "no answer at all";
 }
 
 }  // namespace
--- a/test/core_router/restored_store_ownership_test.cc
+++ b/test/core_router/restored_store_ownership_test.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Ownership of keys while the store comes back from a copy of an earlier state: the newest owner table that any
-/// process knows stands again, and no key has two owners.
+/// Ownership while the store is restored from a backup: the newest owner table known to any process is restored, and no
+/// key has two owners.
 
 #include <gtest/gtest.h>
 
@@ -17,9 +17,9 @@
 constexpr std::size_t kNodes = 4;
 constexpr std::uint64_t kSeed = 20261203;
 
-OwnershipConfig configOf(GrantDelivery grants) {
+OwnershipConfig configOf(GrantDelivery delivery) {
   OwnershipConfig config;
-  config.grant_delivery = grants;
+  config.grant_delivery = delivery;
   return config;
 }
 
@@ -41,7 +41,7 @@
   OwnershipWorld world_{kNodes, kSeed, configOf(GetParam())};
 };
 
-TEST_P(RestoredStoreOwnershipTest, KeysStayWhereTheyWereMovedThoughTheStoreLostTheMove) {
+TEST_P(RestoredStoreOwnershipTest, MovedKeysStayWhenTheStoreLosesTheMove) {
   world_.copyStore();
   moveAway(1);
   world_.restoreStore();
@@ -52,7 +52,7 @@
   }
 }
 
-TEST_P(RestoredStoreOwnershipTest, TableOfWhichTheCopyHasNothingIsWrittenAgain) {
+TEST_P(RestoredStoreOwnershipTest, TableMissingInTheBackupIsWrittenAgain) {
   OwnershipWorld world(kNodes, kSeed, configOf(GetParam()));
   world.copyStore();
   world.run(seconds(6));
@@ -65,7 +65,7 @@
   expectNoViolations(world);
 }
 
-TEST_P(RestoredStoreOwnershipTest, LeavingServerHandsItsKeysOverAfterwards) {
+TEST_P(RestoredStoreOwnershipTest, LeavingServersKeysMoveAfterARestore) {
   world_.copyStore();
   moveAway(1);
   world_.restoreStore();
@@ -75,8 +75,8 @@
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
-// The store has lost that the lease was revoked: its holder renews it as if nothing had been.
-TEST_P(RestoredStoreOwnershipTest, ProcessThatStoodStillDoesNotTakeItsKeysBackByALeaseWhoseRevocationIsLost) {
+// The restored store does not contain the revocation, so the former holder can renew its lease.
+TEST_P(RestoredStoreOwnershipTest, PausedProcessDoesNotReclaimKeysIfItsRevocationIsLost) {
   world_.copyStore();
   world_.pauseNode(0);
   world_.run(seconds(14));
@@ -87,8 +87,8 @@
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
-// Until the table is of the store's era a process that starts has to wait for what it does not know.
-TEST_P(RestoredStoreOwnershipTest, ProcessThatStartsLaterServesAtOnce) {
+// While the table is of an earlier epoch, a process that starts cannot grant keys at once.
+TEST_P(RestoredStoreOwnershipTest, ProcessStartedAfterTheRestoreServesAtOnce) {
   world_.copyStore();
   world_.restoreStore();
   world_.run(seconds(8));
@@ -99,8 +99,7 @@
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
-// A challenger had read the owner's lease before the restore: its time counts anew from the rise, not from the moment
-// at which the old reading turns out to be of no use.
+// A lease that was read before the restore does not count; the wait for its expiry starts anew with the restore.
 TEST_P(RestoredStoreOwnershipTest, DeadOwnersKeysAreTakenOverOneLeaseAfterTheRestore) {
   world_.copyStore();
   world_.killNode(3);
@@ -112,8 +111,8 @@
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
-// What was granted unseen in the second era may be as new as the second rise.
-TEST_P(RestoredStoreOwnershipTest, SecondRestoreBeginsTheWaitAnew) {
+// Grants under lost changes may have been made until the second restore.
+TEST_P(RestoredStoreOwnershipTest, SecondRestoreRestartsTheWait) {
   const auto epoch_of_table = [&] {
     const auto table = OwnerTable::decode(world_.table().value);
     return table ? table.value().epoch() : 0;
@@ -123,15 +122,15 @@
   world_.run(seconds(2));
   ASSERT_EQ(epoch_of_table(), 1U);
   world_.restoreStore();
-  // One heartbeat or renewal at most until they hear of it; the longest hold is 2 s.
+  // The processes notice the restore at the next heartbeat or renewal; the longest grant lasts 2 s.
   world_.run(milliseconds(1900));
   EXPECT_EQ(epoch_of_table(), 1U);
   world_.run(seconds(6));
   EXPECT_EQ(epoch_of_table(), 3U);
 }
 
-// Each of many owners reads the table, and some write it: a few calls each, not all at once.
-TEST(RestoredStoreCallsTest, WritesOfATableDoNotGrowWithItsOwners) {
+// Each owner reads the table and few write it: the number of writes must not grow with the number of owners.
+TEST(RestoredStoreCallsTest, TableWritesDoNotGrowWithTheNumberOfOwners) {
   for (const std::size_t nodes : {10U, 30U}) {
     OwnershipWorld world(nodes, kSeed, configOf(GrantDelivery::Request));
     world.run(seconds(20));
@@ -146,8 +145,8 @@
   }
 }
 
-// Tokens of moves that the store has lost must not be given out a second time.
-TEST_P(RestoredStoreOwnershipTest, TokensRiseOverThoseThatWereLost) {
+// Tokens of moves that the store has lost must not be issued again.
+TEST_P(RestoredStoreOwnershipTest, TokensExceedThoseThatWereLost) {
   const auto last_token = [&] {
     const auto table = OwnerTable::decode(world_.table().value);
     return table ? table.value().lastToken() : 0;
@@ -169,19 +168,19 @@
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
-INSTANTIATE_TEST_SUITE_P(Forms, RestoredStoreOwnershipTest,
-                         ::testing::Values(GrantDelivery::Request, GrantDelivery::Heartbeat), [](const auto& form) {
-                           return form.param == GrantDelivery::Request ? "Request" : "Heartbeat";
+INSTANTIATE_TEST_SUITE_P(GrantDeliveries, RestoredStoreOwnershipTest,
+                         ::testing::Values(GrantDelivery::Request, GrantDelivery::Heartbeat), [](const auto& instance) {
+                           return instance.param == GrantDelivery::Request ? "Request" : "Heartbeat";
                          });
 
-/// @return how many seeds are played; more than the usual number for a long run by hand.
+/// @return number of seeds to run; can be raised for long manual runs.
 std::uint64_t seedCount() {
   constexpr std::uint64_t kUsual = 40;
   const char* wanted = std::getenv("SHEDLEVER_RESTORE_SEEDS");
   return wanted == nullptr ? kUsual : std::strtoull(wanted, nullptr, 10);
 }
 
-/// Restored copies among faults of all kinds at random times. Even seeds: keys by heartbeat.
+/// Backups are restored among random faults of all kinds. Even seeds use grants by heartbeat.
 class RestoredStoreSoakTest : public ::testing::TestWithParam<std::uint64_t> {
  protected:
   static constexpr int kSteps = 40;
@@ -218,7 +217,7 @@
   }
 
   void copyOrRestore() {
-    // The first one has something to go back to.
+    // The first step must take a backup.
     if (std::exchange(copied_, true) && random_.below(2) == 0) {
       world_.restoreStore();
     } else {
@@ -272,8 +271,8 @@
   expectRecovery(world_, kNodes);
 }
 
-// A grant that was carried out 6 s late renewed one that the server held: it outlasted its owner's lease, and with that
-// the takeover.
+// Seed of a grant that was processed 6 s late and renewed the grant of a range beyond its owner's lease and the
+// takeover.
 INSTANTIATE_TEST_SUITE_P(LateRenewal, RestoredStoreSoakTest, ::testing::Values<std::uint64_t>(243));
 INSTANTIATE_TEST_SUITE_P(Seeds, RestoredStoreSoakTest, ::testing::Range<std::uint64_t>(1, 1 + seedCount()));
 
--- a/test/core_router/server_directory_test.cc
+++ b/test/core_router/server_directory_test.cc
@@ -60,19 +60,19 @@
   ServerDirectory directory_;
 };
 
-TEST_F(ServerDirectoryTest, StaysInItsZoneWhileThereIsRoom) {
+TEST_F(ServerDirectoryTest, LocalZoneIsChosenWhileItHasCapacity) {
   load("a", 5, 0);
   EXPECT_EQ(choose(RouteKind::Download, 100)["a"], 100);
 }
 
-TEST_F(ServerDirectoryTest, LeavesItsZoneWhenItsServerIsFull) {
+TEST_F(ServerDirectoryTest, OtherZoneIsChosenWhenTheLocalServerIsFull) {
   load("a", 10, 5);
   load("b", 1, 0);
   load("c", 9, 0);
   EXPECT_EQ(choose(RouteKind::Idempotent, 100)["b"], 100);
 }
 
-TEST_F(ServerDirectoryTest, SlowServerGetsLessSmallWork) {
+TEST_F(ServerDirectoryTest, SlowServerGetsFewerSmallRequests) {
   for (int i = 0; i < 200; ++i) {
     for (const auto& [node, service_ms] : std::map<std::string, int>{{"a", 200}, {"b", 100}, {"c", 100}}) {
       ForwardReplyFrame reply;
@@ -86,8 +86,8 @@
   EXPECT_EQ(choose(RouteKind::Download, 100)["a"], 100);
 }
 
-// Seen: a server that failed all its requests at once looked fast and idle, and drew the most of them.
-TEST_F(ServerDirectoryTest, FailingServerIsLeftAloneUntilWhatItToldHasFaded) {
+// A server that fails all requests quickly must not appear fast and idle and attract most of them.
+TEST_F(ServerDirectoryTest, FailingServerIsAvoidedUntilItsFailureRatioHasDecayed) {
   ForwardReplyFrame reply;
   reply.outcome = ForwardOutcome::Answered;
   reply.service_us = 1000;
@@ -98,7 +98,7 @@
   EXPECT_LT(directory_.failureRatio(NodeName("a"), kNow + seconds(10)), 0.03);
 }
 
-TEST_F(ServerDirectoryTest, TriedDrainingAndUnreachableServersAreLeftOut) {
+TEST_F(ServerDirectoryTest, TriedDrainingAndUnreachableServersAreExcluded) {
   EXPECT_EQ(choose(RouteKind::OnceOnly, 10, {InstanceId("i-a"), InstanceId("i-b"), InstanceId("i-c")})["none"], 10);
   directory_.markDraining(NodeName("a"));
   directory_.markUnreachable(NodeName("b"));
@@ -109,8 +109,8 @@
   EXPECT_EQ(directory_.availableServers(kService).size(), 2U);
 }
 
-// Seen: each second some requests went to a machine without power, and waited for it.
-TEST_F(ServerDirectoryTest, ServersOfEvacuatedZonesAreLeftOutWhileTheyAre) {
+// Requests must not go to servers of a zone without power.
+TEST_F(ServerDirectoryTest, ServersOfEvacuatedZonesAreExcluded) {
   directory_.setEvacuated({ZoneName("far")});
   EXPECT_EQ(choose(RouteKind::Idempotent, 100)["a"], 100);
   EXPECT_EQ(directory_.availableServers(kService).size(), 1U);
@@ -132,7 +132,7 @@
   EXPECT_GT(choose(RouteKind::OnceOnly, 50)["a"], 0);
 }
 
-TEST_F(ServerDirectoryTest, NewLifeOfANodeCountsAsReachable) {
+TEST_F(ServerDirectoryTest, NewIncarnationOfANodeIsReachable) {
   directory_.markUnreachable(NodeName("b"));
   NodeRecord restarted = record("b", "far");
   restarted.incarnation = Incarnation{5};
@@ -141,20 +141,19 @@
   EXPECT_EQ(directory_.availableServers(kService).size(), 3U);
 }
 
-// Seen: the reply that is made up for a broken stream made a dead node look alive, and it was asked again
-// and again.
-TEST_F(ServerDirectoryTest, MadeUpReplyIsNoSignOfLife) {
+// A locally generated reply for a broken stream must not mark a dead node as reachable.
+TEST_F(ServerDirectoryTest, LocallyGeneratedReplyDoesNotMarkANodeReachable) {
   directory_.markUnreachable(NodeName("b"));
-  ForwardReplyFrame made_up;
-  made_up.outcome = ForwardOutcome::NotRun;
-  made_up.reason = ForwardReason::ConnectionLost;
-  directory_.onReply(NodeName("b"), "r", made_up, kNow);
+  ForwardReplyFrame generated;
+  generated.outcome = ForwardOutcome::NotRun;
+  generated.reason = ForwardReason::ConnectionLost;
+  directory_.onReply(NodeName("b"), "r", generated, kNow);
   EXPECT_TRUE(directory_.isUnreachable(NodeName("b")));
   load("b", 1, 0);
   EXPECT_FALSE(directory_.isUnreachable(NodeName("b")));
 }
 
-TEST_F(ServerDirectoryTest, NothingIsKnownOfAnUnknownNode) {
+TEST_F(ServerDirectoryTest, UnknownNodeIsUnreachableAndHasNoRecord) {
   EXPECT_TRUE(directory_.isUnreachable(NodeName("z")));
   EXPECT_EQ(directory_.node(NodeName("z")), nullptr);
 }
--- a/test/core_router/server_presence_test.cc
+++ b/test/core_router/server_presence_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Which life of the server beside a process counts, and what it does.
+/// Which instance of the server beside a process is the present one, and its state.
 
 #include "source/core/router/server_presence.h"
 
@@ -10,7 +10,7 @@
 
 class ServerPresenceTest : public ::testing::Test {
  protected:
-  /// @param start 0: the server does not tell it.
+  /// @param start 0: the server does not report its start.
   static ServerReport report(const std::string& server, std::uint64_t sequence, ServerStart start = 0) {
     ServerReport made;
     made.start = start == 0 ? std::nullopt : std::optional<ServerStart>(start);
@@ -25,12 +25,12 @@
   ServerPresence presence_{ServiceName("s"), {"10.0.0.1", 80}};
 };
 
-TEST_F(ServerPresenceTest, NothingIsThereBeforeTheFirstReport) {
+TEST_F(ServerPresenceTest, NoInstanceBeforeTheFirstReport) {
   EXPECT_TRUE(presence_.instance().empty());
   EXPECT_EQ(presence_.slots(), 0U);
 }
 
-TEST_F(ServerPresenceTest, NewLifeTakesThePlaceOfTheOldAndIsNotDraining) {
+TEST_F(ServerPresenceTest, NewInstanceReplacesTheOldAndIsNotDraining) {
   EXPECT_EQ(presence_.onReport(report("i-1", 1)), PresenceChange::NewInstance);
   EXPECT_EQ(presence_.onReport(report("i-1", 2)), PresenceChange::Updated);
   EXPECT_TRUE(presence_.startDraining());
@@ -41,28 +41,28 @@
   EXPECT_EQ(presence_.instance(), InstanceId("i-2"));
 }
 
-TEST_F(ServerPresenceTest, ReportOfTheSameLifeDoesNotEndItsDraining) {
+TEST_F(ServerPresenceTest, ReportOfTheSameInstanceDoesNotEndItsDraining) {
   presence_.onReport(report("i-1", 1));
   presence_.startDraining();
   EXPECT_EQ(presence_.onReport(report("i-1", 2)), PresenceChange::Updated);
   EXPECT_TRUE(presence_.draining());
 }
 
-// A process that has just restarted acknowledges that a server leaves before it knows any; a late report of that server
-// must not bring it back.
-TEST_F(ServerPresenceTest, LateReportOfALifeWhoseLeavingWasAcknowledgedDoesNotCount) {
+// A restarted process may acknowledge that a server is leaving before it knows the server; a late report must not bring
+// the server back.
+TEST_F(ServerPresenceTest, LateReportAfterAnAcknowledgedLeaveIsRejected) {
   EXPECT_FALSE(presence_.onLeaving(report("i-1", 0)));
   EXPECT_EQ(presence_.onReport(report("i-1", 7)), PresenceChange::None);
   EXPECT_TRUE(presence_.instance().empty());
 }
 
-TEST_F(ServerPresenceTest, LeavingOfThePresentLifeIsItsOwn) {
+TEST_F(ServerPresenceTest, LeaveOfThePresentInstanceIsRecognized) {
   presence_.onReport(report("i-1", 1));
   EXPECT_TRUE(presence_.onLeaving(report("i-1", 2)));
   EXPECT_EQ(presence_.instance(), InstanceId("i-1"));
 }
 
-TEST_F(ServerPresenceTest, DeadLifeDoesNotComeBack) {
+TEST_F(ServerPresenceTest, ReportOfADeadInstanceIsRejected) {
   presence_.onReport(report("i-1", 1));
   presence_.onGone();
   EXPECT_TRUE(presence_.instance().empty());
@@ -70,8 +70,8 @@
   EXPECT_EQ(presence_.onReport(report("i-2", 1)), PresenceChange::NewInstance);
 }
 
-// The server starts again under its id: its counts start anew, and so does all that it said.
-TEST_F(ServerPresenceTest, LaterStartOfTheSameServerIsItsNextLife) {
+// A server that restarts under the same id numbers its reports from the beginning.
+TEST_F(ServerPresenceTest, LaterStartOfTheSameServerIsANewInstance) {
   EXPECT_EQ(presence_.onReport(report("i-1", 50, 1000)), PresenceChange::NewInstance);
   presence_.startDraining();
   EXPECT_FALSE(presence_.contradicts(report("i-1", 1, 2000)));
@@ -81,28 +81,27 @@
   EXPECT_EQ(presence_.instance(), lifeOf(ServerId("i-1"), 2000));
 }
 
-TEST_F(ServerPresenceTest, ServerThatIsDeadForSureMayStartAgainUnderItsId) {
+TEST_F(ServerPresenceTest, DeadServerMayRestartUnderTheSameId) {
   presence_.onReport(report("i-1", 50, 1000));
   presence_.onGone();
   EXPECT_EQ(presence_.onReport(report("i-1", 51, 1000)), PresenceChange::None);
   EXPECT_EQ(presence_.onReport(report("i-1", 1, 2000)), PresenceChange::NewInstance);
 }
 
-TEST_F(ServerPresenceTest, LateLeavingOfTheEarlierLifeIsNotThePresentOnes) {
+TEST_F(ServerPresenceTest, LateLeaveOfAnEarlierInstanceDoesNotAffectThePresentOne) {
   presence_.onReport(report("i-1", 1, 2000));
   EXPECT_FALSE(presence_.onLeaving(report("i-1", 9, 1000)));
   EXPECT_TRUE(presence_.onLeaving(report("i-1", 2, 2000)));
 }
 
-TEST_F(ServerPresenceTest, LeavingThatTellsNoStartIsThePresentLifes) {
+TEST_F(ServerPresenceTest, LeaveWithoutAStartIsOfThePresentInstance) {
   presence_.onReport(report("i-1", 1, 2000));
   ServerReport leaving = report("i-1", 2);
   leaving.leaves = true;
   EXPECT_TRUE(presence_.onLeaving(leaving));
 }
 
-// Seen: a server refused connections 0.6 s after it had said that it leaves. It
-// was taken for dead and its keys were given away, while it worked and held them for 0.9 s more.
+// A leaving server may refuse connections while it still holds keys; they must not be reassigned yet.
 TEST_F(ServerPresenceTest, LeavingServerThatRefusesConnectionsMayStillHoldKeys) {
   EXPECT_TRUE(presence_.refusalProvesEnd(true));
   presence_.startDraining();
--- a/test/core_router/staleness_bound_test.cc
+++ b/test/core_router/staleness_bound_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// When to ask whether what is known is still the newest.
+/// Times at which processes query the store for changes.
 
 #include "source/core/router/staleness_bound.h"
 
@@ -24,7 +24,7 @@
   StalenessLimits limits_;
 };
 
-TEST_F(StalenessBoundTest, AsksAtTheLimitAtTheLatestAndNotBeforeTheLeast) {
+TEST_F(StalenessBoundTest, QueriesBetweenMinimumAndMaximumStaleness) {
   for (int run = 0; run < 100; ++run) {
     StalenessBound bound(limits_, kStart);
     TimePoint now = kStart;
@@ -36,49 +36,49 @@
   }
 }
 
-// The number of questions does not grow with the processes, as long as they tell each other.
-TEST_F(StalenessBoundTest, FewOfManyProcessesAsk) {
-  constexpr Duration kTold = milliseconds(150);
+// The number of queries does not grow with the number of processes that share their results.
+TEST_F(StalenessBoundTest, FewOfManyProcessesQuery) {
+  constexpr Duration kPropagationDelay = milliseconds(150);
   constexpr int kSeconds = 60;
   for (const std::size_t processes : {4U, 16U, 194U}) {
     std::vector<StalenessBound> bounds(processes, StalenessBound(limits_, kStart));
-    std::vector<TimePoint> asked;
+    std::vector<TimePoint> queries;
     for (TimePoint now = kStart; now < kStart + std::chrono::seconds(kSeconds); now += kTick) {
-      // What was learned a moment ago is known everywhere by now.
-      const auto told = std::find_if(asked.rbegin(), asked.rend(), [&](TimePoint at) { return now - at >= kTold; });
-      const TimePoint told_at = told == asked.rend() ? kStart : *told;
+      // Results reach all other processes after this delay.
+      const auto shared =
+          std::find_if(queries.rbegin(), queries.rend(), [&](TimePoint at) { return now - at >= kPropagationDelay; });
+      const TimePoint fresh_at = shared == queries.rend() ? kStart : *shared;
       for (StalenessBound& bound : bounds) {
-        bound.noteFreshAt(told_at);
+        bound.noteFreshAt(fresh_at);
         if (bound.shouldQuery(now, processes, random_)) {
           bound.noteFreshAt(now);
-          asked.push_back(now);
+          queries.push_back(now);
         }
       }
     }
-    EXPECT_LT(asked.size(), 3U * kSeconds) << processes;
-    EXPECT_GT(asked.size(), kSeconds / 2U) << processes;
+    EXPECT_LT(queries.size(), 3U * kSeconds) << processes;
+    EXPECT_GT(queries.size(), kSeconds / 2U) << processes;
   }
 }
 
-// Seen: while the store refused all calls for 8 s, what others had known before it did came with each of their replies,
-// cleared the pause after a refused question each time, and each of 71 processes asked with every tick: 16,000 calls,
-// each of which costs as much as one that is answered.
-TEST_F(StalenessBoundTest, RefusedQuestionsArePausedWhateverOthersKnewBefore) {
+// While the store refuses all calls, results from before that are repeated by other processes; they must not reset the
+// backoff.
+TEST_F(StalenessBoundTest, RefusedQueriesBackOffDespiteRepeatedOldResults) {
   StalenessBound bound(limits_, kStart);
-  int asked = 0;
+  int queries = 0;
   for (TimePoint now = kStart; now < kStart + std::chrono::seconds(8); now += kTick) {
     bound.noteFreshAt(kStart - milliseconds(100));
     bound.noteFreshAt(kStart);
     if (bound.shouldQuery(now, 71, random_)) {
-      ++asked;
+      ++queries;
       bound.onFailed(now);
     }
   }
-  // 1.5 s, and then after 0.4, 0.8, 1.6 and 1.6 s.
-  EXPECT_LE(asked, 7);
+  // At 1.5 s, and then after 0.4, 0.8, 1.6 and 1.6 s.
+  EXPECT_LE(queries, 7);
 }
 
-TEST_F(StalenessBoundTest, WhatOthersKnewLongAgoIsNoNews) {
+TEST_F(StalenessBoundTest, OldResultsDoNotChangeTheStaleness) {
   StalenessBound bound(limits_, kStart);
   bound.noteFreshAt(kStart - std::chrono::seconds(5));
   EXPECT_EQ(bound.staleness(kStart), Duration::zero());
--- a/test/core_router/takeover_watcher_test.cc
+++ b/test/core_router/takeover_watcher_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// When the lease of a silent owner counts as over.
+/// Expiry of the lease of an unreachable owner.
 
 #include "source/core/router/takeover_watcher.h"
 
@@ -16,7 +16,7 @@
 
 class TakeoverWatcherTest : public ::testing::Test {
  protected:
-  /// The node has been silent long enough; its lease object is read at that revision.
+  /// The node has been unreachable long enough; its lease object is read at that revision.
   void readLeaseAt(StoreRevision revision) {
     tick();
     clock_.advance(config_.suspicion);
@@ -41,41 +41,41 @@
   TakeoverWatcher watcher_{config_, store_, clock_, [](const NodeName&) {}};
 };
 
-TEST_F(TakeoverWatcherTest, LeaseOfWhichNothingWasToldIsCountedFromWhenItWasRead) {
+TEST_F(TakeoverWatcherTest, UnreportedLeaseExpiresOneLeaseAfterItWasRead) {
   readLeaseAt(7);
   EXPECT_FALSE(revokesAfter(config_.lease + config_.lease_margin - milliseconds(1)));
   EXPECT_TRUE(revokesAfter(milliseconds(1)));
 }
 
-// Seen: an owner went for good while the store was down for all; its keys stayed without service for 16 s.
-TEST_F(TakeoverWatcherTest, LeaseIsOverWhenItsHolderSaidSoIfItStillStands) {
-  const TimePoint end = clock_.now() + seconds(3);
-  watcher_.onPeerLease(node_, {7, end, end});
+// A reported lease must shorten the takeover of an owner that failed while the store was down.
+TEST_F(TakeoverWatcherTest, ReportedLeaseExpiresAsReportedIfUnchanged) {
+  const TimePoint expiry = clock_.now() + seconds(3);
+  watcher_.onPeerLease(node_, {7, expiry, expiry});
   readLeaseAt(7);
-  EXPECT_FALSE(revokesAfter(end + config_.lease_margin - milliseconds(1) - clock_.now()));
+  EXPECT_FALSE(revokesAfter(expiry + config_.lease_margin - milliseconds(1) - clock_.now()));
   EXPECT_TRUE(revokesAfter(milliseconds(1)));
   EXPECT_EQ(store_.replaces.back().object.revision, 7U);
 }
 
-TEST_F(TakeoverWatcherTest, RenewalThatWasNotHeardOfCountsInFull) {
-  const TimePoint end = clock_.now() + seconds(3);
-  watcher_.onPeerLease(node_, {7, end, end});
+TEST_F(TakeoverWatcherTest, UnreportedRenewalExtendsTheLeaseInFull) {
+  const TimePoint expiry = clock_.now() + seconds(3);
+  watcher_.onPeerLease(node_, {7, expiry, expiry});
   readLeaseAt(8);
   EXPECT_FALSE(revokesAfter(config_.lease + config_.lease_margin - milliseconds(1)));
   EXPECT_TRUE(revokesAfter(milliseconds(1)));
 }
 
-TEST_F(TakeoverWatcherTest, WhatIsHeardLateOfAnEarlierRenewalIsForgotten) {
-  const TimePoint end = clock_.now() + seconds(6);
-  watcher_.onPeerLease(node_, {8, end, end});
-  watcher_.onPeerLease(node_, {7, end - seconds(4), end - seconds(4)});
+TEST_F(TakeoverWatcherTest, LateReportOfAnEarlierRenewalIsIgnored) {
+  const TimePoint expiry = clock_.now() + seconds(6);
+  watcher_.onPeerLease(node_, {8, expiry, expiry});
+  watcher_.onPeerLease(node_, {7, expiry - seconds(4), expiry - seconds(4)});
   readLeaseAt(8);
-  EXPECT_FALSE(revokesAfter(end + config_.lease_margin - milliseconds(1) - clock_.now()));
+  EXPECT_FALSE(revokesAfter(expiry + config_.lease_margin - milliseconds(1) - clock_.now()));
   EXPECT_TRUE(revokesAfter(milliseconds(1)));
 }
 
-// The holder may have a lease still, and renews it over what was put there.
-TEST_F(TakeoverWatcherTest, LeaseObjectOfAnotherWriterEndsNoLease) {
+// The holder's lease may still be valid, and the holder will overwrite the invalid object.
+TEST_F(TakeoverWatcherTest, InvalidLeaseObjectIsNotRevoked) {
   for (const char* text : {"7", "[]", "null", R"({"incarnation":"x","count":-1,"revoked":"yes"})", "{"}) {
     const LeaseRecord record = LeaseRecord::decode(text);
     EXPECT_FALSE(record.revoked) << text;
@@ -83,7 +83,7 @@
   }
 }
 
-class LeaseKeeperTest : public ::testing::Test {
+class LeaseManagerTest : public ::testing::Test {
  protected:
   OwnershipConfig config_;
   ScriptedStore store_;
@@ -91,7 +91,7 @@
   LeaseManager lease_{{NodeName("self"), Incarnation{3}}, config_, store_, clock_, [] {}};
 };
 
-TEST_F(LeaseKeeperTest, OnlyARenewalOfThisProcessIsTold) {
+TEST_F(LeaseManagerTest, OnlyARenewalByThisProcessIsReported) {
   lease_.inherit(clock_.now() + seconds(5));
   lease_.tick(clock_.now());
   ASSERT_EQ(store_.creates.size(), 1U);
@@ -104,8 +104,8 @@
   EXPECT_EQ(lease_.renewedRevision(), 12U);
 }
 
-// Others may have been told when it ends: it must not grow without a change of the object.
-TEST_F(LeaseKeeperTest, RenewedLeaseDoesNotGrowByWhatPeersTell) {
+// Others may know when the lease expires, so it must not be extended without a change of the object.
+TEST_F(LeaseManagerTest, RenewedLeaseIsNotExtendedByPeers) {
   lease_.tick(clock_.now());
   const TimePoint sent = clock_.now();
   store_.creates.back().done({StoreStatus::Done, {"self", 4, "{}"}});
