--- a/test/core_router/restorable_store_test.cc
+++ b/test/core_router/restorable_store_test.cc
@@ -33,9 +33,9 @@
   int epoch_missing_ = 0;
   std::optional<StoreAnswer> answer_;
   std::optional<WatchResult> watched_;
-  RestorableStore store_{
-      raw_,
-      {[this](StoreEpoch before, StoreEpoch now) { restored_.emplace_back(before, now); }, [this] { ++epoch_missing_; }}};
+  RestorableStore store_{raw_,
+                         {[this](StoreEpoch before, StoreEpoch now) { restored_.emplace_back(before, now); },
+                          [this] { ++epoch_missing_; }}};
 };
 
 TEST_F(RestorableStoreTest, LaterEpochIsReportedButNotTheFirst) {
