--- a/test/core_router/tenant_turns_test.cc
+++ b/test/core_router/tenant_turns_test.cc
@@ -73,7 +73,7 @@
   EXPECT_EQ(queue.admit(6, tenant("a", 1, 2), {}, kNow, kMaxWait).verdict, QueueVerdict::Wait);
 }
 
-TEST(TenantFairSchedulerTest, IdleTimeEarnsNoCredit) {
+TEST(TenantFairSchedulerTest, TenantGainsNoCreditWhileIdle) {
   SlotQueue queue(1);
   std::map<QueueTicket, std::string> owners;
   QueueTicket ticket = 0;
