--- a/include/shedlever/platform_ports.h
+++ b/include/shedlever/platform_ports.h
@@ -124,8 +124,8 @@
   virtual AnswerKind classify(const HttpResponse& answer, const RequestId& id, const InstanceId& expected,
                               bool keyed) const = 0;
 
-  virtual HttpRequest grantRequest(const GrantCommand& order) const = 0;
-  virtual HttpRequest releaseRequest(const ReleaseCommand& order) const = 0;
+  virtual HttpRequest grantRequest(const GrantCommand& command) const = 0;
+  virtual HttpRequest releaseRequest(const ReleaseCommand& command) const = 0;
   virtual CommandStatus commandStatus(const HttpResponse& answer) const = 0;
   virtual std::string handoverOf(const HttpResponse& answer) const = 0;
 
--- a/include/shedlever/router_frames.h
+++ b/include/shedlever/router_frames.h
@@ -227,14 +227,14 @@
   NodeName node;
   Incarnation incarnation;
   /// The sender has just started and has not read anything from the store yet.
-  bool needs_state = false;
+  bool needs_snapshot = false;
   /// Sent by the connecting side: the node that it expects at the address. If the address now belongs to another node,
   /// that node ignores the frames of the stream.
   NodeName expected_node;
 
   template <class Archive>
   void serialize(Archive& archive) {
-    archive(node, incarnation, needs_state, expected_node);
+    archive(node, incarnation, needs_snapshot, expected_node);
   }
 };
 
--- a/include/shedlever/settings.h
+++ b/include/shedlever/settings.h
@@ -85,7 +85,7 @@
   /// Requests of the service are idempotent.
   bool repeatable = false;
   /// Requests of the service run at most once and require an `Idempotency-Key`.
-  bool once_only = false;
+  bool at_most_once = false;
   /// How long an idempotency key stays claimed after its request has ended.
   Duration claim_retention = std::chrono::hours(24);
 
--- a/source/core/router/owner_table.cc
+++ b/source/core/router/owner_table.cc
@@ -23,11 +23,11 @@
   ++changes_;
 }
 
-OwnerTable OwnerTable::divideEvenly(const std::vector<OwnerLocation>& locations, std::uint32_t ranges_each,
+OwnerTable OwnerTable::divideEvenly(const std::vector<OwnerLocation>& locations, std::uint32_t ranges_per_server,
                                     StoreEpoch epoch) {
   OwnerTable table;
   table.beginChange(epoch);
-  const auto count = static_cast<std::uint32_t>(locations.size()) * ranges_each;
+  const auto count = static_cast<std::uint32_t>(locations.size()) * ranges_per_server;
   for (std::uint32_t i = 0; i < count; ++i) {
     OwnedRange range;
     range.keys.first = static_cast<Key>(kKeyCount * i / count);
@@ -79,8 +79,8 @@
     parts.push_back(whole);
     parts.back().keys.first = static_cast<Key>(keys.last + 1);
   }
-  const auto place = ranges_.erase(found);
-  ranges_.insert(place, parts.begin(), parts.end());
+  const auto position = ranges_.erase(found);
+  ranges_.insert(position, parts.begin(), parts.end());
   return findExact(keys);
 }
 
@@ -117,15 +117,15 @@
   }
 }
 
-bool OwnerTable::assign(const KeyRange& keys, const OwnerLocation& place, const std::string& handover,
+bool OwnerTable::assign(const KeyRange& keys, const OwnerLocation& location, const std::string& handover,
                         std::uint32_t rate) {
   OwnedRange* range = findExact(keys);
   if (range == nullptr) {
     return false;
   }
   range->token = nextTokenAfter(*range);
-  range->owner = place.instance;
-  range->node = place.node;
+  range->owner = location.instance;
+  range->node = location.node;
   range->handover = handover;
   range->releasing = false;
   range->rate = rate;
@@ -230,9 +230,9 @@
   range.keys.first = entry.at(0).get<Key>();
   const auto owner = entry.at(1).get<std::size_t>();
   if (owner != 0) {
-    const OwnerLocation& place = owners.at(owner - 1);
-    range.owner = place.instance;
-    range.node = place.node;
+    const OwnerLocation& location = owners.at(owner - 1);
+    range.owner = location.instance;
+    range.node = location.node;
   }
   range.token = entry.at(2).get<FenceToken>();
   range.handover = entry.size() > kHandover ? entry.at(kHandover).get<std::string>() : std::string();
--- a/source/core/router/owner_table.h
+++ b/source/core/router/owner_table.h
@@ -59,10 +59,10 @@
   OwnerTable() = default;
 
   /// @param locations must not be empty.
-  /// @param ranges_each ranges per server; the servers take turns.
+  /// @param ranges_per_server ranges per server; the servers take turns.
   /// @param epoch of the store in which the table is written.
   /// @return an initial table that divides all keys evenly.
-  static OwnerTable divideEvenly(const std::vector<OwnerLocation>& locations, std::uint32_t ranges_each = 1,
+  static OwnerTable divideEvenly(const std::vector<OwnerLocation>& locations, std::uint32_t ranges_per_server = 1,
                                  StoreEpoch epoch = 0);
 
   /// Starts the next change, in the given epoch of the store. Tokens of a later epoch are higher than all tokens of
--- a/source/core/router/ownership_config.h
+++ b/source/core/router/ownership_config.h
@@ -36,7 +36,7 @@
   /// Largest factor by which a server's clock may stretch a grant.
   double clock_drift_factor = 1.02;
   /// Delay after a failed grant command.
-  Duration order_retry = std::chrono::milliseconds(50);
+  Duration command_retry = std::chrono::milliseconds(50);
   /// Ranges per server in the initial table. The servers take turns, because frequently requested keys lie close
   /// together.
   std::uint32_t initial_ranges_per_server = 4;
@@ -63,9 +63,9 @@
   /// Difference to the mean utilization of all servers from which an owner moves keys.
   double occupancy_gap = 0.15;
   /// Ratio of failed requests from which an owner moves its keys away ...
-  double failing_share = 0.4;
+  double max_failure_ratio = 0.4;
   /// ... to servers whose ratio is lower by at least this.
-  double failing_gap = 0.3;
+  double failure_ratio_gap = 0.3;
   /// Number of ranges of one owner above which adjacent ranges are merged.
   std::size_t max_ranges_per_owner = 6;
 };
--- a/source/core/router/ownership_fields.cc
+++ b/source/core/router/ownership_fields.cc
@@ -14,7 +14,7 @@
     {"grant_hold", &OwnershipConfig::grant_hold},
     {"heartbeat_hold", &OwnershipConfig::heartbeat_hold},
     {"heartbeat_wait", &OwnershipConfig::heartbeat_wait},
-    {"order_retry", &OwnershipConfig::order_retry},
+    {"order_retry", &OwnershipConfig::command_retry},
     {"first_division_delay", &OwnershipConfig::first_division_delay},
     {"rank_delay", &OwnershipConfig::rank_delay},
     {"suspicion", &OwnershipConfig::suspicion},
@@ -27,8 +27,8 @@
 constexpr std::array<OwnershipShareField, 4> kShares{{
     {"busy_occupancy", &OwnershipConfig::busy_occupancy},
     {"occupancy_gap", &OwnershipConfig::occupancy_gap},
-    {"failing_share", &OwnershipConfig::failing_share},
-    {"failing_gap", &OwnershipConfig::failing_gap},
+    {"failing_share", &OwnershipConfig::max_failure_ratio},
+    {"failing_gap", &OwnershipConfig::failure_ratio_gap},
 }};
 
 }  // namespace
--- a/source/core/router/ownership_manager.cc
+++ b/source/core/router/ownership_manager.cc
@@ -36,7 +36,7 @@
     heartbeat_grants_ = grants.get();
     grants_ = std::move(grants);
   } else {
-    grants_ = std::make_unique<RequestGrants>(config_, *ports_.orders, *ports_.clock, grantEvents());
+    grants_ = std::make_unique<RequestGrants>(config_, *ports_.server_commands, *ports_.clock, grantEvents());
   }
   writer_.setRestoreDelays(restoreDelays());
 }
@@ -235,7 +235,7 @@
   });
   // Servers with a high failure ratio are used only if there are no others.
   const auto is_healthy = [&](const NodeRecord* record) {
-    return ports_.directory->failureRatio(record->node, now) < config_.failing_share;
+    return ports_.directory->failureRatio(record->node, now) < config_.max_failure_ratio;
   };
   if (std::any_of(ready.begin(), ready.end(), is_healthy)) {
     std::erase_if(ready, [&](const NodeRecord* record) { return !is_healthy(record); });
@@ -354,9 +354,9 @@
     locations.push_back({record->instance, record->node});
   }
   if (!locations.empty()) {
-    const auto ranges_each = config_.max_initial_ranges / static_cast<std::uint32_t>(locations.size());
-    writer_.create(OwnerTable::divideEvenly(locations, std::clamp(ranges_each, 1U, config_.initial_ranges_per_server),
-                                            ports_.store->epoch()));
+    const auto ranges_per_server = config_.max_initial_ranges / static_cast<std::uint32_t>(locations.size());
+    writer_.create(OwnerTable::divideEvenly(
+        locations, std::clamp(ranges_per_server, 1U, config_.initial_ranges_per_server), ports_.store->epoch()));
   }
 }
 
@@ -457,12 +457,12 @@
 }
 
 std::vector<OwnerLocation> OwnershipManager::healthierTargets(TimePoint now) const {
-  if (failure_ratio_ < config_.failing_share) {
+  if (failure_ratio_ < config_.max_failure_ratio) {
     return {};
   }
   std::vector<OwnerLocation> healthier = targets(now);
   std::erase_if(healthier, [&](const OwnerLocation& location) {
-    return ports_.directory->failureRatio(location.node, now) > failure_ratio_ - config_.failing_gap;
+    return ports_.directory->failureRatio(location.node, now) > failure_ratio_ - config_.failure_ratio_gap;
   });
   return healthier;
 }
--- a/source/core/router/ownership_manager.h
+++ b/source/core/router/ownership_manager.h
@@ -42,7 +42,7 @@
 /// Dependencies and callbacks; all must outlive the manager.
 struct OwnershipPorts {
   MetadataStore* store = nullptr;
-  ServerCommands* orders = nullptr;
+  ServerCommands* server_commands = nullptr;
   const Clock* clock = nullptr;
   ServerDirectory* directory = nullptr;
   /// The owner table changed or a range is newly held: requests that wait for their owner may proceed.
--- a/source/core/router/request_grants.cc
+++ b/source/core/router/request_grants.cc
@@ -16,8 +16,9 @@
 
 }  // namespace
 
-RequestGrants::RequestGrants(const OwnershipConfig& config, ServerCommands& orders, const Clock& clock, Events events)
-    : config_(config), orders_(orders), clock_(clock), events_(std::move(events)) {}
+RequestGrants::RequestGrants(const OwnershipConfig& config, ServerCommands& server_commands, const Clock& clock,
+                             Events events)
+    : config_(config), server_commands_(server_commands), clock_(clock), events_(std::move(events)) {}
 
 void RequestGrants::update(const std::vector<OwnedRange>& wanted, TimePoint lease_until, TimePoint now) {
   const auto is_wanted = [&](const OwnedRange& range) {
@@ -42,10 +43,9 @@
   grant.in_flight = true;
   grant.send_number = ++last_send_;
   const OwnedRange& range = grant.range;
-  const GrantCommand order{range.keys.first, range.keys.last, range.token, hold, range.handover};
-  orders_.grant(order, [this, first = range.keys.first, number = grant.send_number, now, hold](CommandStatus status) {
-    onAnswer(first, number, status, now, hold);
-  });
+  const GrantCommand command{range.keys.first, range.keys.last, range.token, hold, range.handover};
+  server_commands_.grant(command, [this, first = range.keys.first, number = grant.send_number, now,
+                                   hold](CommandStatus status) { onAnswer(first, number, status, now, hold); });
 }
 
 void RequestGrants::onAnswer(Key first, std::uint64_t send_number, CommandStatus status, TimePoint sent,
@@ -60,7 +60,7 @@
   Grant& grant = found->second;
   grant.in_flight = false;
   if (status != CommandStatus::Done) {
-    grant.next_send_at = clock_.now() + config_.order_retry;
+    grant.next_send_at = clock_.now() + config_.command_retry;
     if (status == CommandStatus::Superseded) {
       events_.superseded(grant.range);
     }
@@ -85,7 +85,7 @@
 
 void RequestGrants::release(const OwnedRange& range, ReleaseCallback done) {
   grants_.erase(range.keys.first);
-  orders_.release({range.keys.first, range.keys.last, range.token + 1}, std::move(done));
+  server_commands_.release({range.keys.first, range.keys.last, range.token + 1}, std::move(done));
 }
 
 }  // namespace shedlever
--- a/source/core/router/request_grants.h
+++ b/source/core/router/request_grants.h
@@ -12,7 +12,7 @@
 
 class RequestGrants final : public GrantChannel {
  public:
-  RequestGrants(const OwnershipConfig& config, ServerCommands& orders, const Clock& clock, Events events);
+  RequestGrants(const OwnershipConfig& config, ServerCommands& server_commands, const Clock& clock, Events events);
 
   void update(const std::vector<OwnedRange>& wanted, TimePoint lease_until, TimePoint now) override;
   bool isHeld(Key key, TimePoint now) const override;
@@ -36,7 +36,7 @@
   void onAnswer(Key first, std::uint64_t send_number, CommandStatus status, TimePoint sent, Duration hold);
 
   const OwnershipConfig& config_;
-  ServerCommands& orders_;
+  ServerCommands& server_commands_;
   const Clock& clock_;
   Events events_;
   /// By first key.
--- a/source/core/router/staleness_bound.cc
+++ b/source/core/router/staleness_bound.cc
@@ -34,7 +34,7 @@
 
 void StalenessBound::onFailed(TimePoint now) { not_before_ = now + backoff_.onFailure(); }
 
-bool StalenessBound::shouldQuery(TimePoint now, std::size_t processes, RandomSource& random) {
+bool StalenessBound::shouldQuery(TimePoint now, std::size_t process_count, RandomSource& random) {
   const Duration elapsed = now - std::exchange(last_call_, now);
   const Duration stale = staleness(now);
   if (stale < limits_.min_staleness || now < not_before_) {
@@ -46,7 +46,7 @@
   const auto span = static_cast<double>((limits_.max_staleness - limits_.min_staleness).count());
   const double urgency = 1 + kMaxExtraUrgency * static_cast<double>((stale - limits_.min_staleness).count()) / span;
   const double queries = limits_.queries_per_second * urgency * std::chrono::duration<double>(elapsed).count();
-  const double probability = queries / static_cast<double>(std::max<std::size_t>(processes, 1));
+  const double probability = queries / static_cast<double>(std::max<std::size_t>(process_count, 1));
   return static_cast<double>(random.below(kRandomSteps)) < probability * kRandomSteps;
 }
 
--- a/source/core/router/staleness_bound.h
+++ b/source/core/router/staleness_bound.h
@@ -38,10 +38,10 @@
   /// @return time since the known data was last confirmed as current.
   Duration staleness(TimePoint now) const { return now - newest_at_; }
 
-  /// @param processes number of processes that share their results, including this one.
+  /// @param process_count number of processes that share their results, including this one.
   /// @param random spreads the queries of the processes over time.
   /// @return whether to query now. Call often: each call covers the time since the previous one.
-  bool shouldQuery(TimePoint now, std::size_t processes, RandomSource& random);
+  bool shouldQuery(TimePoint now, std::size_t process_count, RandomSource& random);
 
  private:
   StalenessLimits limits_;
--- a/source/core/router/takeover_watcher.cc
+++ b/source/core/router/takeover_watcher.cc
@@ -26,20 +26,20 @@
   if (lease.revision.none()) {
     return;
   }
-  PeerLease& heard = peer_leases_[node];
-  if (lease.revision > heard.revision) {
-    heard = lease;
-  } else if (lease.revision == heard.revision) {
-    heard.expired_by = std::min(heard.expired_by, lease.expired_by);
+  PeerLease& reported = peer_leases_[node];
+  if (lease.revision > reported.revision) {
+    reported = lease;
+  } else if (lease.revision == reported.revision) {
+    reported.expired_by = std::min(reported.expired_by, lease.expired_by);
   }
 }
 
 TimePoint TakeoverWatcher::leaseExpiry(const NodeName& node, const Challenge& challenge) const {
   const TimePoint by_own_clock = challenge.read_at + config_.lease;
-  const auto heard = peer_leases_.find(node);
+  const auto reported = peer_leases_.find(node);
   const bool unchanged =
-      !challenge.absent && heard != peer_leases_.end() && heard->second.revision == challenge.revision;
-  return unchanged ? std::min(by_own_clock, heard->second.expired_by) : by_own_clock;
+      !challenge.absent && reported != peer_leases_.end() && reported->second.revision == challenge.revision;
+  return unchanged ? std::min(by_own_clock, reported->second.expired_by) : by_own_clock;
 }
 
 void TakeoverWatcher::advance(const NodeName& node, Challenge& challenge, Duration delay, TimePoint now) {
--- a/source/core/settings/service_checks.cc
+++ b/source/core/settings/service_checks.cc
@@ -36,7 +36,7 @@
   }
 
   void checkAtMostOnce() {
-    if (service_.once_only && service_.repeatable) {
+    if (service_.at_most_once && service_.repeatable) {
       add("/once_only", "excludes \"repeatable\": a request can't both run at most once and be run again.");
     }
   }
--- a/source/core/settings/settings_field_tables.cc
+++ b/source/core/settings/settings_field_tables.cc
@@ -36,7 +36,7 @@
      {},
      "Requests are idempotent: a request with an unknown outcome may be retried."},
     {"once_only",
-     &ServiceSettings::once_only,
+     &ServiceSettings::at_most_once,
      {},
      "Requests run at most once; each needs an `Idempotency-Key`. Excludes `repeatable`."},
     {"claim_retention_ms",
--- a/source/core/settings/settings_routes.cc
+++ b/source/core/settings/settings_routes.cc
@@ -17,7 +17,7 @@
   route.priority = service.priority;
   route.max_attempts = service.retry.attempts;
   route.shares = {{service.name, 1}};
-  route.needs_idempotency_key = service.once_only;
+  route.needs_idempotency_key = service.at_most_once;
   return route;
 }
 
--- a/source/lab/sim/ownership_world.cc
+++ b/source/lab/sim/ownership_world.cc
@@ -54,7 +54,7 @@
       std::make_unique<ServerDirectory>(nodeName(node.index), zoneOf(node.index), ServerChoiceConfig{}, random_);
   OwnershipPorts ports;
   ports.store = node.store.get();
-  ports.orders = node.orders.get();
+  ports.server_commands = node.orders.get();
   ports.clock = &time_;
   ports.directory = node.directory.get();
   ports.on_change = [] {};
--- a/source/router/cluster_state.cc
+++ b/source/router/cluster_state.cc
@@ -363,11 +363,11 @@
 }
 
 void ClusterState::tick() {
-  const std::size_t processes = ports_.directory->nodes().size();
-  config_watcher_.tick(processes);
-  node_watcher_.tick(processes);
+  const std::size_t process_count = ports_.directory->nodes().size();
+  config_watcher_.tick(process_count);
+  node_watcher_.tick(process_count);
   if (evacuation_watcher_) {
-    evacuation_watcher_->tick(processes);
+    evacuation_watcher_->tick(process_count);
   }
 }
 
--- a/source/router/gateway.cc
+++ b/source/router/gateway.cc
@@ -221,7 +221,7 @@
   const auto done = [this, number](ForwardReplyFrame reply) { onReply(number, std::move(reply)); };
   const bool local = request.attempt.local;
   const std::uint64_t handle =
-      local ? ports_.gate->forward(std::move(frame), done) : ports_.links->forward(node, std::move(frame), done);
+      local ? ports_.gate->forward(std::move(frame), done) : ports_.peer_client->forward(node, std::move(frame), done);
   // The reply may have arrived inside the call and have ended the request or started the next attempt.
   const auto found = requests_.find(number);
   if (found != requests_.end() && found->second.attempt.open && found->second.attempt.handle == 0 &&
@@ -427,7 +427,7 @@
   if (request.attempt.local) {
     ports_.gate->cancel(request.attempt.handle);
   } else {
-    ports_.links->cancel(request.attempt.handle);
+    ports_.peer_client->cancel(request.attempt.handle);
   }
 }
 
--- a/source/router/gateway.h
+++ b/source/router/gateway.h
@@ -33,7 +33,7 @@
   ServerDirectory* directory = nullptr;
   const CrashQuarantine* quarantine = nullptr;
   ServerGate* gate = nullptr;
-  PeerClient* links = nullptr;
+  PeerClient* peer_client = nullptr;
   EventLog* log = nullptr;
   RouterMetrics* metrics = nullptr;
   /// @return the owner of the key; empty if the key has no owner or the owner is unknown.
@@ -56,7 +56,7 @@
   void setConfig(std::shared_ptr<const RouteTable> routes);
   /// Sets the budget of services whose settings contain none.
   void setRetryBudget(const RetryBudgetConfig& budget) { budget_.setConfig(budget); }
-  void setProcessCount(std::size_t processes) { budget_.setProcessCount(processes); }
+  void setProcessCount(std::size_t process_count) { budget_.setProcessCount(process_count); }
 
   /// Handles a completely received request.
   void handle(HttpRequest http, const HttpReplier& replier);
--- a/source/router/gateway_recorder.cc
+++ b/source/router/gateway_recorder.cc
@@ -11,7 +11,7 @@
 
 std::string orDash(const std::string& value) { return value.empty() ? "-" : value; }
 
-const char* wordOf(RetryDecision step) {
+const char* decisionLabel(RetryDecision step) {
   switch (step) {
     case RetryDecision::Answer:
       return "answer";
@@ -52,7 +52,7 @@
   const TimePoint now = clock_.now();
   log_.write("gateway", "attempt-ended",
              {{"id", request.id.value},
-              {"next", wordOf(next)},
+              {"next", decisionLabel(next)},
               {"reason", toString(reply.reason)},
               {"status", std::to_string(reply.http.status)},
               {"reached", reply.reached_server ? "1" : "0"},
--- a/source/router/kind_watcher.cc
+++ b/source/router/kind_watcher.cc
@@ -134,8 +134,8 @@
   });
 }
 
-void KindWatcher::tick(std::size_t processes) {
-  if (listed_ && staleness_bound_.shouldQuery(clock_.now(), processes, random_)) {
+void KindWatcher::tick(std::size_t process_count) {
+  if (listed_ && staleness_bound_.shouldQuery(clock_.now(), process_count, random_)) {
     check();
   }
 }
--- a/source/router/kind_watcher.h
+++ b/source/router/kind_watcher.h
@@ -70,8 +70,8 @@
   void setBurstPause(Duration pause) { options_.burst_pause = pause; }
 
   /// Checks the store for changes if the known objects are too stale. Called about every 50 ms while they are needed.
-  /// @param processes number of processes that watch the kind and report their freshness to each other.
-  void tick(std::size_t processes);
+  /// @param process_count number of processes that watch the kind and report their freshness to each other.
+  void tick(std::size_t process_count);
 
   /// Processes a peer's freshness of the kind: checks the store, then lists the kind, unless the watch soon delivers
   /// what the peer has seen.
--- a/source/router/peer_client.cc
+++ b/source/router/peer_client.cc
@@ -273,12 +273,12 @@
     onReply(std::move(*reply));
   } else if (const auto* part = std::get_if<ReplyPartFrame>(&frame)) {
     onReplyPart(node, *part);
-  } else if (const auto* settled = std::get_if<ExchangeQueryReplyFrame>(&frame)) {
-    onExchangeQueryReply(*settled);
+  } else if (const auto* query_reply = std::get_if<ExchangeQueryReplyFrame>(&frame)) {
+    onExchangeQueryReply(*query_reply);
   } else if (std::holds_alternative<StoppingFrame>(frame)) {
     directory_.markDraining(node);
   } else if (const auto* hello = std::get_if<HelloFrame>(&frame)) {
-    if (hello->needs_state) {
+    if (hello->needs_snapshot) {
       events_.on_snapshot_requested(node);
     }
   } else if (const auto* table = std::get_if<OwnerTableFrame>(&frame)) {
@@ -286,7 +286,7 @@
   } else if (const auto* config = std::get_if<ConfigFrame>(&frame)) {
     events_.on_config(*config);
   } else if (const auto* crashes = std::get_if<ServerCrashesFrame>(&frame)) {
-    events_.on_server_ends(*crashes);
+    events_.on_server_crashes(*crashes);
   } else if (auto* answer = std::get_if<StoreReplyFrame>(&frame)) {
     auto call = store_calls_.extract(answer->exchange);
     if (!call.empty()) {
@@ -342,13 +342,13 @@
   node.mapped().done(std::move(reply));
 }
 
-void PeerClient::onExchangeQueryReply(const ExchangeQueryReplyFrame& settled) {
-  switch (settled.state) {
+void PeerClient::onExchangeQueryReply(const ExchangeQueryReplyFrame& query_reply) {
+  switch (query_reply.state) {
     case ExchangeState::NotStarted:
-      finish(settled.exchange, ForwardOutcome::NotRun, ForwardReason::ConnectionLost);
+      finish(query_reply.exchange, ForwardOutcome::NotRun, ForwardReason::ConnectionLost);
       return;
     case ExchangeState::Answered:
-      finish(settled.exchange, ForwardOutcome::Unknown, ForwardReason::ConnectionLost);
+      finish(query_reply.exchange, ForwardOutcome::Unknown, ForwardReason::ConnectionLost);
       return;
     case ExchangeState::Pending:
       return;
@@ -358,7 +358,7 @@
 void PeerClient::onStreamUp(Stream& stream) {
   directory_.onReachable(stream.node);
   events_.on_reachable(stream.node, true);
-  const ServerCrashesFrame crashes = events_.server_ends();
+  const ServerCrashesFrame crashes = events_.server_crashes();
   if (!crashes.empty()) {
     stream.send(crashes, 0);
   }
--- a/source/router/peer_client.h
+++ b/source/router/peer_client.h
@@ -35,9 +35,9 @@
     /// A peer has sent the owner table of its service.
     std::function<void(const OwnerTableFrame&)> on_owner_table;
     /// @return the server crashes to be reported to a process that was just connected.
-    std::function<ServerCrashesFrame()> server_ends;
+    std::function<ServerCrashesFrame()> server_crashes;
     /// A peer has reported server crashes.
-    std::function<void(const ServerCrashesFrame&)> on_server_ends;
+    std::function<void(const ServerCrashesFrame&)> on_server_crashes;
     /// A peer has sent its active configuration.
     std::function<void(const ConfigFrame&)> on_config = [](const ConfigFrame&) {};
   };
@@ -94,7 +94,7 @@
   void onFrame(const NodeName& node, RouterFrame frame);
   void onReply(ForwardReplyFrame reply);
   void onReplyPart(const NodeName& node, const ReplyPartFrame& part);
-  void onExchangeQueryReply(const ExchangeQueryReplyFrame& settled);
+  void onExchangeQueryReply(const ExchangeQueryReplyFrame& query_reply);
   void onStreamUp(Stream& stream);
   void onStreamEnd(Stream& stream);
   /// Queries the outcome of requests whose earlier stream broke.
--- a/source/router/peer_server.cc
+++ b/source/router/peer_server.cc
@@ -129,9 +129,9 @@
   } else if (const auto* hello = std::get_if<HelloFrame>(&frame)) {
     stream->sender = {hello->node, hello->incarnation};
     stream->misdirected = hello->expected_node != ports_.self.name;
-    const bool requests_snapshot = !stream->misdirected && ports_.needs_state();
+    const bool requests_snapshot = !stream->misdirected && ports_.needs_snapshot();
     stream->send(HelloFrame{ports_.self.name, ports_.self.incarnation, requests_snapshot, {}});
-    const ServerCrashesFrame crashes = ports_.server_ends();
+    const ServerCrashesFrame crashes = ports_.server_crashes();
     if (!stream->misdirected && !crashes.empty()) {
       stream->send(crashes);
     }
@@ -139,8 +139,8 @@
     stream->send(PongFrame{});
   } else if (const auto* stopping = std::get_if<StoppingFrame>(&frame)) {
     ports_.on_stopping(stopping->node);
-  } else if (const auto* settle = std::get_if<ExchangeQueryFrame>(&frame)) {
-    onSettle(id, *stream, *settle);
+  } else if (const auto* query = std::get_if<ExchangeQueryFrame>(&frame)) {
+    onExchangeQuery(id, *stream, *query);
   } else if (const auto* table_request = std::get_if<OwnerTableRequestFrame>(&frame)) {
     if (auto newer = ports_.table_newer_than(table_request->known)) {
       stream->send(OwnerTableFrame{std::move(*newer)});
@@ -154,7 +154,7 @@
   } else if (const auto* snapshot = std::get_if<ClusterSnapshotFrame>(&frame)) {
     ports_.on_snapshot(*snapshot);
   } else if (const auto* crashes = std::get_if<ServerCrashesFrame>(&frame)) {
-    ports_.on_server_ends(*crashes);
+    ports_.on_server_crashes(*crashes);
   } else if (auto* call = std::get_if<StoreCallFrame>(&frame)) {
     onStoreCall(id, std::move(*call));
   }
@@ -232,8 +232,8 @@
   stream.transfers[exchange] = transfer;
 }
 
-void PeerServer::onSettle(StreamId id, Stream& stream, const ExchangeQueryFrame& settle) {
-  const RequestKey key{{stream.sender.name, settle.incarnation}, settle.exchange};
+void PeerServer::onExchangeQuery(StreamId id, Stream& stream, const ExchangeQueryFrame& query) {
+  const RequestKey key{{stream.sender.name, query.incarnation}, query.exchange};
   const auto reply = unsent_replies_.find(key);
   if (reply != unsent_replies_.end()) {
     sendReply(id, stream, std::move(reply->second));
@@ -243,11 +243,11 @@
   const auto request = active_requests_.find(key);
   if (request != active_requests_.end()) {
     request->second.stream = id;
-    stream.send(ExchangeQueryReplyFrame{settle.exchange, ExchangeState::Pending});
+    stream.send(ExchangeQueryReplyFrame{query.exchange, ExchangeState::Pending});
     return;
   }
   if (wasAnswered(key)) {
-    stream.send(ExchangeQueryReplyFrame{settle.exchange, ExchangeState::Answered});
+    stream.send(ExchangeQueryReplyFrame{query.exchange, ExchangeState::Answered});
     return;
   }
   rejected_requests_[key] = true;
@@ -256,7 +256,7 @@
       rejected_requests_.erase(key);
     }
   });
-  stream.send(ExchangeQueryReplyFrame{settle.exchange, ExchangeState::NotStarted});
+  stream.send(ExchangeQueryReplyFrame{query.exchange, ExchangeState::NotStarted});
 }
 
 void PeerServer::onStoreCall(StreamId id, StoreCallFrame call) {
--- a/source/router/peer_server.h
+++ b/source/router/peer_server.h
@@ -36,13 +36,13 @@
     /// @return the active configuration if its version is above `known`.
     std::function<std::optional<ConfigFrame>(ConfigVersion known)> config_newer_than;
     /// @return whether to request a snapshot from the peer that has just connected.
-    std::function<bool()> needs_state;
+    std::function<bool()> needs_snapshot;
     /// A peer has sent its snapshot.
     std::function<void(const ClusterSnapshotFrame&)> on_snapshot;
     /// @return the server crashes to be reported to a peer that has just connected.
-    std::function<ServerCrashesFrame()> server_ends;
+    std::function<ServerCrashesFrame()> server_crashes;
     /// A peer has reported server crashes.
-    std::function<void(const ServerCrashesFrame&)> on_server_ends;
+    std::function<void(const ServerCrashesFrame&)> on_server_crashes;
     /// A peer has announced that it stops.
     std::function<void(const NodeName&)> on_stopping;
   };
@@ -91,7 +91,7 @@
   void sendReply(StreamId id, Stream& stream, ForwardReplyFrame reply);
   /// Writes a large reply in parts, paced by the link.
   void sendParts(StreamId id, Stream& stream, ExchangeId exchange, std::string bytes);
-  void onSettle(StreamId id, Stream& stream, const ExchangeQueryFrame& settle);
+  void onExchangeQuery(StreamId id, Stream& stream, const ExchangeQueryFrame& query);
   void onStoreCall(StreamId id, StoreCallFrame call);
   void onStreamEnd(StreamId id);
   void cancelOrphans(const NodeIdentity& sender);
--- a/source/router/quarantine_coordinator.cc
+++ b/source/router/quarantine_coordinator.cc
@@ -49,25 +49,25 @@
                      {"unanswered", std::to_string(unanswered.size())},
                      {"fingerprints", textOf(unanswered)}});
   const ServerCrashId id{instance, wallClockMicroseconds()};
-  const ServerCrashesFrame news = quarantine_.onLocalCrash(id, unanswered, ports_.clock->now());
-  if (!news.empty()) {
-    ports_.broadcast(news);
+  const ServerCrashesFrame update = quarantine_.onLocalCrash(id, unanswered, ports_.clock->now());
+  if (!update.empty()) {
+    ports_.broadcast(update);
   }
   reportChanges("own-server");
 }
 
 void QuarantineCoordinator::onServed(const RequestFingerprint& request) {
-  const ServerCrashesFrame news = quarantine_.onServed(request, wallClockMicroseconds(), ports_.clock->now());
-  if (!news.empty()) {
-    ports_.broadcast(news);
+  const ServerCrashesFrame update = quarantine_.onServed(request, wallClockMicroseconds(), ports_.clock->now());
+  if (!update.empty()) {
+    ports_.broadcast(update);
     reportChanges("served");
   }
 }
 
 void QuarantineCoordinator::onCrashesFrame(const ServerCrashesFrame& received) {
-  const ServerCrashesFrame news = quarantine_.merge(received, ports_.clock->now());
-  if (!news.empty()) {
-    ports_.broadcast(news);
+  const ServerCrashesFrame update = quarantine_.merge(received, ports_.clock->now());
+  if (!update.empty()) {
+    ports_.broadcast(update);
   }
   reportChanges("peer");
 }
--- a/source/router/router_metrics.cc
+++ b/source/router/router_metrics.cc
@@ -21,7 +21,7 @@
   return prometheus::BuildHistogram().Name(name).Help(help).Register(registry);
 }
 
-const char* wordOf(ForwardOutcome outcome) {
+const char* outcomeLabel(ForwardOutcome outcome) {
   switch (outcome) {
     case ForwardOutcome::Answered:
       return "answered";
@@ -34,7 +34,7 @@
 }
 
 /// @return the outcome label for a status of the store.
-const char* wordOf(int status) {
+const char* outcomeLabel(int status) {
   constexpr int kConflict = 409;
   constexpr int kFirstError = 400;
   if (status == 0) {
@@ -101,7 +101,7 @@
       nodes_staleness_(gauge("shedlever_nodes_staleness_seconds",
                              "Time since the node records that are known were the newest for sure")),
       owner_table_(gauge("shedlever_owner_table_revision", "Revision of the service's own owner table")),
-      store_era_(gauge("shedlever_store_era", "Latest era of the store; rises when it comes back from a copy")),
+      store_epoch_(gauge("shedlever_store_era", "Latest era of the store; rises when it comes back from a copy")),
       owned_ranges_(gauge("shedlever_owned_ranges", "Ranges of keys that the server beside this process owns")),
       acknowledgements_(
           gauge("shedlever_heartbeats_acknowledged", "Heartbeats acknowledged, of servers that take keys so")),
@@ -144,8 +144,10 @@
 void RouterMetrics::onGateRefusal(ForwardReason reason) { gate_refusals_.at("reason", toString(reason)).Increment(); }
 
 void RouterMetrics::onServerRequestEnd(ForwardOutcome outcome, ForwardReason reason, Duration queued, Duration ran) {
-  const std::string key = std::string(wordOf(outcome)) + " " + toString(reason);
-  const auto labels = [=] { return prometheus::Labels{{"outcome", wordOf(outcome)}, {"reason", toString(reason)}}; };
+  const std::string key = std::string(outcomeLabel(outcome)) + " " + toString(reason);
+  const auto labels = [=] {
+    return prometheus::Labels{{"outcome", outcomeLabel(outcome)}, {"reason", toString(reason)}};
+  };
   server_requests_.at(key, labels).Increment();
   queued_.Observe(secondsOf(queued));
   if (outcome == ForwardOutcome::Answered) {
@@ -154,8 +156,8 @@
 }
 
 void RouterMetrics::onStoreCall(const std::string& method, int status, Duration took) {
-  const auto labels = [&] { return prometheus::Labels{{"method", method}, {"outcome", wordOf(status)}}; };
-  store_calls_.at(method + " " + wordOf(status), labels).Increment();
+  const auto labels = [&] { return prometheus::Labels{{"method", method}, {"outcome", outcomeLabel(status)}}; };
+  store_calls_.at(method + " " + outcomeLabel(status), labels).Increment();
   if (status != 0 && method != "watch") {
     store_seconds_.Observe(secondsOf(took));
   }
@@ -176,7 +178,7 @@
   config_staleness_.Set(secondsOf(gauges.config_staleness));
   nodes_staleness_.Set(secondsOf(gauges.nodes_staleness));
   owner_table_.Set(static_cast<double>(gauges.owner_table_revision));
-  store_era_.Set(static_cast<double>(gauges.store_era));
+  store_epoch_.Set(static_cast<double>(gauges.store_epoch));
   owned_ranges_.Set(static_cast<double>(gauges.owned_ranges));
   acknowledgements_.Set(static_cast<double>(gauges.heartbeats.acknowledgements));
   keyless_acknowledgements_.Set(static_cast<double>(gauges.heartbeats.without_keys));
--- a/source/router/router_metrics.h
+++ b/source/router/router_metrics.h
@@ -45,7 +45,7 @@
   Duration config_staleness{};
   Duration nodes_staleness{};
   std::uint64_t owner_table_revision = 0;
-  StoreEpoch store_era = 0;
+  StoreEpoch store_epoch = 0;
   std::size_t owned_ranges = 0;
   /// For a server that receives its keys by heartbeat.
   HeartbeatGrantCounts heartbeats;
@@ -120,7 +120,7 @@
   prometheus::Gauge& config_staleness_;
   prometheus::Gauge& nodes_staleness_;
   prometheus::Gauge& owner_table_;
-  prometheus::Gauge& store_era_;
+  prometheus::Gauge& store_epoch_;
   prometheus::Gauge& owned_ranges_;
   prometheus::Gauge& acknowledgements_;
   prometheus::Gauge& keyless_acknowledgements_;
--- a/source/router/router_process.cc
+++ b/source/router/router_process.cc
@@ -35,10 +35,10 @@
       directory_(settings_.node, settings_.zone, settings_.choice, random_),
       quarantine_(settings_.quarantine, quarantinePorts()),
       gate_recorder_(log_, metrics_),
-      server_link_(loop_, settings_.server, *platform_.servers),
+      server_client_(loop_, settings_.server, *platform_.servers),
       server_(settings_.service, settings_.server),
       pacer_(loop_, clock_, settings_.link),
-      gate_(clock_, settings_.queue, server_link_,
+      gate_(clock_, settings_.queue, server_client_,
             {[this](double more_bytes) { return pacer_.limited() ? pacer_.waitFor(more_bytes) : Duration::zero(); }},
             gate_recorder_, gateEvents()),
       peer_client_(loop_, clock_, self_, directory_, peerClientEvents()),
@@ -120,10 +120,10 @@
   peer_ports.table_newer_than = [this](const StoreRevision& known) { return cluster_state_.ownTableNewerThan(known); };
   peer_ports.config_newer_than = [this](ConfigVersion known) { return cluster_state_.configNewerThan(known); };
   peer_ports.on_owner_table = [this](const OwnerTableFrame& frame) { cluster_state_.onOwnerTable(frame.table); };
-  peer_ports.needs_state = [this] { return shouldRequestSnapshot(); };
+  peer_ports.needs_snapshot = [this] { return shouldRequestSnapshot(); };
   peer_ports.on_snapshot = [this](const ClusterSnapshotFrame& snapshot) { onSnapshot(snapshot); };
-  peer_ports.server_ends = [this] { return quarantine_.summary(); };
-  peer_ports.on_server_ends = [this](const ServerCrashesFrame& crashes) { quarantine_.onCrashesFrame(crashes); };
+  peer_ports.server_crashes = [this] { return quarantine_.summary(); };
+  peer_ports.on_server_crashes = [this](const ServerCrashesFrame& crashes) { quarantine_.onCrashesFrame(crashes); };
   BOOST_LEAF_AUTO(peers, PeerServer::listen(loop_, settings_.peers_listen, std::move(peer_ports)));
   peer_server_ = std::move(peers);
   // A port chosen by the kernel is not known earlier.
@@ -348,7 +348,7 @@
     return;
   }
   verifying_instance_ = true;
-  server_link_.identify(gate_.healthPath(), [this, report](const ServerId& running, bool) {
+  server_client_.identify(gate_.healthPath(), [this, report](const ServerId& running, bool) {
     verifying_instance_ = false;
     log_.write("server", "instance-verified",
                {{"reported", report.instance.value}, {"known", server_.instance().value}, {"running", running.value}});
@@ -374,7 +374,7 @@
   gate_.serverUp(report.instance, report.slots);
   gate_.setCold(report.cold_remaining);
   if (change == PresenceChange::NewInstance && startedBeforeThisProcess(report)) {
-    gate_.assumeStartsUsedUp();
+    gate_.assumeStartLimitExhausted();
   }
   if (report.draining) {
     onServerDraining();
@@ -470,7 +470,7 @@
     cluster_state_.tick();
   }
   if (ownership_manager_) {
-    ownership_manager_->setOfferedLoad(gate_.offeredWork());
+    ownership_manager_->setOfferedLoad(gate_.offeredLoad());
     ownership_manager_->setFailureRatio(gate_.failureRatio());
     ownership_manager_->tick(clock_.now());
     responder_.respondIfDue();
--- a/source/router/router_process.h
+++ b/source/router/router_process.h
@@ -129,7 +129,7 @@
   ServerDirectory directory_;
   QuarantineCoordinator quarantine_;
   GateRecorder gate_recorder_;
-  ServerClient server_link_;
+  ServerClient server_client_;
   ServerPresence server_;
   LinkPacer pacer_;
   ServerGate gate_;
--- a/source/router/router_process_status.cc
+++ b/source/router/router_process_status.cc
@@ -60,7 +60,7 @@
       levels.heartbeats = *counts;
     }
   }
-  levels.store_era = store_.epoch();
+  levels.store_epoch = store_.epoch();
   levels.store_reached = store_client_.directCallsWork();
   levels.log_lines_dropped = log_.droppedLines();
   levels.quarantined = quarantine_.quarantine().quarantined().size();
--- a/source/router/router_process_wiring.cc
+++ b/source/router/router_process_wiring.cc
@@ -52,8 +52,8 @@
   };
   events.on_owner_table = [this](const OwnerTableFrame& frame) { cluster_state_.onOwnerTable(frame.table); };
   events.on_config = [this](const ConfigFrame& config) { cluster_state_.onPeerConfig(config); };
-  events.server_ends = [this] { return quarantine_.summary(); };
-  events.on_server_ends = [this](const ServerCrashesFrame& crashes) { quarantine_.onCrashesFrame(crashes); };
+  events.server_crashes = [this] { return quarantine_.summary(); };
+  events.on_server_crashes = [this](const ServerCrashesFrame& crashes) { quarantine_.onCrashesFrame(crashes); };
   return events;
 }
 
@@ -99,7 +99,7 @@
   ports.directory = &directory_;
   ports.quarantine = &quarantine_.quarantine();
   ports.gate = &gate_;
-  ports.links = &peer_client_;
+  ports.peer_client = &peer_client_;
   ports.log = &log_;
   ports.metrics = &metrics_;
   ports.owner_of = [this](const ServiceName& service, Key key) { return cluster_state_.ownerOf(service, key); };
@@ -125,7 +125,7 @@
 OwnershipPorts RouterProcess::ownershipPorts() {
   OwnershipPorts ports;
   ports.store = &store_;
-  ports.orders = &server_link_;
+  ports.server_commands = &server_client_;
   ports.clock = &clock_;
   ports.directory = &directory_;
   ports.on_change = [this] {
--- a/source/router/server_gate.cc
+++ b/source/router/server_gate.cc
@@ -36,16 +36,16 @@
   const auto wait = std::chrono::floor<std::chrono::milliseconds>(machine_link_.transfer_time(expected_bytes_));
   load.link_busy_ms = static_cast<std::uint32_t>(wait.count());
   load.failed_permille = static_cast<std::uint32_t>(failureRatio() * kPermille);
-  load.demand_hundredths = static_cast<std::uint32_t>(std::max(offeredWork().demand, 0.0) * kHundredths);
+  load.demand_hundredths = static_cast<std::uint32_t>(std::max(offeredLoad().demand, 0.0) * kHundredths);
   return load;
 }
 
-OfferedLoad ServerGate::offeredWork() const {
-  OfferedLoad work;
-  work.slots = queue_.load().slots;
-  work.service_seconds = std::chrono::duration<double>(queue_.meanServiceTime()).count();
-  work.demand = ownership_manager_ == nullptr ? 0.0 : ownership_manager_->requestRate() * work.service_seconds;
-  return work;
+OfferedLoad ServerGate::offeredLoad() const {
+  OfferedLoad offered;
+  offered.slots = queue_.load().slots;
+  offered.service_seconds = std::chrono::duration<double>(queue_.meanServiceTime()).count();
+  offered.demand = ownership_manager_ == nullptr ? 0.0 : ownership_manager_->requestRate() * offered.service_seconds;
+  return offered;
 }
 
 void ServerGate::serverUp(const InstanceId& instance, std::uint32_t slots) {
@@ -182,9 +182,9 @@
   if (!frame.keyed) {
     return ForwardReason::None;
   }
-  const KeyState standing =
+  const KeyState state =
       ownership_manager_ == nullptr ? KeyState::OwnedElsewhere : ownership_manager_->keyState(frame.key, now);
-  switch (standing) {
+  switch (state) {
     case KeyState::Held:
       return ForwardReason::None;
     case KeyState::Pending:
@@ -252,9 +252,9 @@
 }
 
 bool ServerGate::isKeyInTransit(Key key, TimePoint now) const {
-  const KeyState standing =
+  const KeyState state =
       ownership_manager_ == nullptr ? KeyState::OwnedElsewhere : ownership_manager_->keyState(key, now);
-  return standing == KeyState::Pending || standing == KeyState::Moving;
+  return state == KeyState::Pending || state == KeyState::Moving;
 }
 
 Key ServerGate::rangeStartOf(Key key) const {
--- a/source/router/server_gate.h
+++ b/source/router/server_gate.h
@@ -80,7 +80,7 @@
   /// The server may have become cold: treats it as cold until its next report.
   void assumeCold();
   /// The server started before this process: an earlier process may have used up the server's request rate.
-  void assumeStartsUsedUp() { queue_.assumeStartLimitExhausted(clock_.now()); }
+  void assumeStartLimitExhausted() { queue_.assumeStartLimitExhausted(clock_.now()); }
   /// The server has ended: refuses queued requests and starts no more.
   void serverEnded();
   /// The server is draining: refuses requests without a key, queued ones included. Requests with a key are still
@@ -106,7 +106,7 @@
   bool isRunning(QueueTicket ticket) const;
 
   /// @return the load that the requests for the server's keys offer to the server.
-  OfferedLoad offeredWork() const;
+  OfferedLoad offeredLoad() const;
 
   /// Key ownership has changed: retries the requests that are held for it.
   void onKeysChanged();
--- a/test/cli/examples_test.cc
+++ b/test/cli/examples_test.cc
@@ -52,7 +52,7 @@
     std::vector<std::string> names;
     for (const auto& [name, service] : settings.services) {
       names.push_back(name.value);
-      EXPECT_EQ(service.once_only, name.value == example.once_only_service);
+      EXPECT_EQ(service.at_most_once, name.value == example.once_only_service);
       EXPECT_EQ(service.divided_by_key, name.value == example.divided_service);
       EXPECT_EQ(service.tenants.size(), 3U);
       EXPECT_EQ(service.backend.slots, 6U);
--- a/test/router/gateway_test.cc
+++ b/test/router/gateway_test.cc
@@ -51,9 +51,10 @@
   GatewayTest()
       : log_(loop_, clock_, open("/dev/null", O_WRONLY | O_CLOEXEC)),
         directory_(self_.name, ZoneName("z"), {}, random_),
-        links_(loop_, clock_, self_, directory_,
-               {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const PeerLease&) {},
-                [](const OwnerTableFrame&) {}, [] { return ServerCrashesFrame{}; }, [](const ServerCrashesFrame&) {}}),
+        peer_client_(
+            loop_, clock_, self_, directory_,
+            {[](const NodeName&, bool) {}, [](const NodeName&) {}, [](const NodeName&, const PeerLease&) {},
+             [](const OwnerTableFrame&) {}, [] { return ServerCrashesFrame{}; }, [](const ServerCrashesFrame&) {}}),
         gateway_(self_, ServiceName("own"), {1.0, 100}, ports()) {
     RouterConfig config;
     config.version = 1;
@@ -112,7 +113,7 @@
     ports.protocol = &protocol_;
     ports.directory = &directory_;
     ports.quarantine = &quarantine_;
-    ports.links = &links_;
+    ports.peer_client = &peer_client_;
     ports.log = &log_;
     ports.metrics = &metrics_;
     ports.owner_of = [](const ServiceName&, Key) { return KeyOwner{}; };
@@ -177,7 +178,7 @@
   platform::ClientProtocolImpl protocol_;
   ServerDirectory directory_;
   CrashQuarantine quarantine_{{}};
-  PeerClient links_;
+  PeerClient peer_client_;
   Gateway gateway_;
   std::unique_ptr<StrictHttpServer> clients_;
   FakePeer first_{loop_, {NodeName("node-1"), Incarnation{1}}};
