--- a/include/shedlever/key_report.h
+++ b/include/shedlever/key_report.h
@@ -13,7 +13,7 @@
 
 namespace shedlever {
 
-/// Keys that a server holds, or is still processing requests for after it was told to release them.
+/// Keys that a server holds, or is still processing requests for after it was asked to release them.
 struct ReportedRange {
   Key first = 0;
   Key last = 0;  ///< inclusive
--- a/include/shedlever/router_frames.h
+++ b/include/shedlever/router_frames.h
@@ -226,7 +226,7 @@
   /// The sender's node.
   NodeName node;
   Incarnation incarnation;
-  /// The sender has just started and has not read anything from the store yet.
+  /// Requests a snapshot, because the sender's cluster state is not complete yet. Set only by the accepting side.
   bool needs_snapshot = false;
   /// Sent by the connecting side: the node that it expects at the address. If the address now belongs to another node,
   /// that node ignores the frames of the stream.
--- a/include/shedlever/time.h
+++ b/include/shedlever/time.h
@@ -12,8 +12,8 @@
 using Duration = std::chrono::microseconds;
 
 /// Clock tag for the boot time of the process's machine (CLOCK_BOOTTIME). The clock advances while the machine is
-/// suspended, so that a resumed process can tell how long it was suspended. Time points of different processes are not
-/// comparable.
+/// suspended, so that a resumed process can determine how long it was suspended. Time points of different processes are
+/// not comparable.
 struct BootClock {
   using rep = Duration::rep;
   using period = Duration::period;
--- a/source/core/router/grant_channel.h
+++ b/source/core/router/grant_channel.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Tells the server beside a node which keys it holds: by commands to the server or in the acknowledgements of its
-/// heartbeats.
+/// Grants keys to the local server (the server on this process's node) and has it release them: by commands or in the
+/// acknowledgements of its heartbeats.
 
 #include <functional>
 #include <vector>
--- a/source/core/router/ownership_manager.h
+++ b/source/core/router/ownership_manager.h
@@ -61,7 +61,7 @@
  public:
   OwnershipManager(NodeIdentity self, ServiceName service, const OwnershipConfig& config, OwnershipPorts ports);
 
-  /// A server runs beside this node.
+  /// An instance of the local server is running.
   void serverUp(const InstanceId& instance, TimePoint now);
   /// The server has ended for certain; its keys may be reassigned at once.
   void serverDead();
--- a/source/core/router/quarantine/crash_quarantine.h
+++ b/source/core/router/quarantine/crash_quarantine.h
@@ -42,13 +42,12 @@
                                   TimePoint now);
 
   /// Merges a message of a peer.
-  /// @return what to forward to the other peers: served requests that they may not know, and all crashes of a request
-  /// that
-  ///   now has at least two.
+  /// @return what to forward to the other peers: served requests that they may not know, and all crashes of each
+  ///   request that now has at least two.
   ServerCrashesFrame merge(const ServerCrashesFrame& received, TimePoint now);
 
   /// Records that a server has run the request and answered it.
-  /// @param seen_at_us wall-clock time in microseconds since 1970.
+  /// @param seen_at_us wall-clock time in microseconds since the Unix epoch.
   /// @return what to send to all peers; empty unless they may be counting crashes against the request.
   ServerCrashesFrame onServed(const RequestFingerprint& request, std::uint64_t seen_at_us, TimePoint now);
 
--- a/source/core/router/report_filter.h
+++ b/source/core/router/report_filter.h
@@ -13,7 +13,7 @@
 
 class ReportFilter {
  public:
-  /// @param service, address of the server beside this process; other reports are rejected.
+  /// @param service, address of the local server; other reports are rejected.
   ReportFilter(ServiceName service, Endpoint address) : service_(std::move(service)), address_(std::move(address)) {}
 
   /// @return whether the report is from this server and from an instance that is not known to have ended.
--- a/source/core/router/server_directory.h
+++ b/source/core/router/server_directory.h
@@ -28,7 +28,7 @@
   std::uint32_t slots = 0;
   /// The server is leaving or the node is stopping.
   bool draining = false;
-  /// Requests during which servers ended, including this node's server.
+  /// Quarantined requests on which this node's server has crashed.
   std::vector<QuarantinedRequest> quarantined;
 
   bool operator==(const NodeRecord&) const = default;
--- a/source/core/router/server_presence.h
+++ b/source/core/router/server_presence.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// State of the server beside a process, from the server's reports and from observations by the gate.
+/// State of the local server (the server on this process's node), from its reports and from the gate's observations.
 
 #include <cstdint>
 
@@ -22,7 +22,7 @@
   /// @param service, address of the server.
   ServerPresence(ServiceName service, Endpoint address) : filter_(std::move(service), std::move(address)) {}
 
-  /// Handles a report that the server is running. `startDraining` tells whether it is leaving.
+  /// Handles a report that the server is running. Ignores whether it is leaving, see `startDraining`.
   PresenceChange onReport(const ServerReport& report);
 
   /// @return whether the report is from a server other than the present one that is not known to have ended. Either the
@@ -51,7 +51,7 @@
   std::uint32_t slots() const { return slots_; }
   /// @param reports_keys whether the server's heartbeats list the keys that it holds.
   /// @return whether a refused connection proves that the server has ended. A leaving server may refuse connections
-  ///   while it still works and holds keys; then only its heartbeats tell what it holds.
+  ///   while it still works and holds keys; then only its heartbeats show which keys it holds.
   bool refusalProvesEnd(bool reports_keys) const { return !(draining_ && reports_keys); }
 
   bool draining() const { return draining_; }
--- a/source/core/router/slot_queue.h
+++ b/source/core/router/slot_queue.h
@@ -70,9 +70,8 @@
   void assumeStartLimitExhausted(TimePoint now) { start_rate_.assumeExhausted(now); }
 
   /// Handles the arrival of a request. With Start the request already occupies a slot.
-  /// @param max_wait the request is refused if its predicted wait is longer. A queued request becomes overdue when it
-  /// can
-  ///   no longer start within this time, see `removeOverdue`.
+  /// @param max_wait the request is refused if its predicted wait is longer. A queued request is overdue once it can no
+  ///   longer start within this time, see `removeOverdue`.
   QueueDecision admit(QueueTicket ticket, const QueueRank& rank, TimePoint now, Duration max_wait);
 
   /// As above for a request of a tenant: the request gets its tenant's next start tag. While all slots are in use, it
--- a/source/router/peer_client.h
+++ b/source/router/peer_client.h
@@ -79,7 +79,7 @@
     TimePoint sent_at{};
     /// Whether the request may run again, so that its outcome need not be known.
     bool retryable = false;
-    /// Set when the stream broke: the only incarnation of the peer that can tell the outcome.
+    /// Set when the stream broke: the only incarnation of the peer that knows the outcome.
     std::optional<Incarnation> receiver_incarnation;
     bool outcome_requested = false;
   };
