--- a/source/core/router/ownership_manager.h
+++ b/source/core/router/ownership_manager.h
@@ -42,7 +42,7 @@
 /// Dependencies and callbacks; all must outlive the manager.
 struct OwnershipPorts {
   MetadataStore* store = nullptr;
-  ServerCommands* orders = nullptr;
+  ServerCommands* server_commands = nullptr;
   const Clock* clock = nullptr;
   ServerDirectory* directory = nullptr;
   /// The owner table changed or a range is newly held: requests that wait for their owner may proceed.
@@ -61,7 +61,7 @@
  public:
   OwnershipManager(NodeIdentity self, ServiceName service, const OwnershipConfig& config, OwnershipPorts ports);
 
-  /// A server runs beside this node.
+  /// An instance of the local server is running.
   void serverUp(const InstanceId& instance, TimePoint now);
   /// The server has ended for certain; its keys may be reassigned at once.
   void serverDead();
