--- a/test/net/http_client_test.cc
+++ b/test/net/http_client_test.cc
@@ -151,16 +151,16 @@
 
   HttpResponseParser parts(1000, 1000, false);
   EventBuffer input(evbuffer_new());
-  HttpResponseParseStatus progress = HttpResponseParseStatus::More;
+  HttpResponseParseStatus progress = HttpResponseParseStatus::Incomplete;
   std::size_t at = 0;
-  while (at < row.answer.size() && progress == HttpResponseParseStatus::More) {
+  while (at < row.answer.size() && progress == HttpResponseParseStatus::Incomplete) {
     const std::size_t size = *rc::gen::inRange<std::size_t>(1, row.answer.size() - at + 1);
     evbuffer_add(input.get(), row.answer.data() + at, size);
     at += size;
     progress = parts.consume(input.get());
   }
   RC_ASSERT(progress == expected);
-  if (expected == HttpResponseParseStatus::Done) {
+  if (expected == HttpResponseParseStatus::Complete) {
     RC_ASSERT(whole.takeResponse().body == parts.takeResponse().body);
   }
 }
--- a/test/net/strict_http_server_test.cc
+++ b/test/net/strict_http_server_test.cc
@@ -232,14 +232,14 @@
   const EventBuffer buffer(evbuffer_new());
   std::size_t at = 0;
   std::size_t next = 0;
-  HttpRequestParseStatus progress = HttpRequestParseStatus::Nothing;
+  HttpRequestParseStatus progress = HttpRequestParseStatus::Empty;
   while (at < bytes.size()) {
     const std::size_t size = std::min(bytes.size() - at, cuts.empty() ? bytes.size() : cuts[next++ % cuts.size()]);
     evbuffer_add(buffer.get(), bytes.data() + at, size);
     at += size;
     progress = parser.consume(buffer.get());
   }
-  RC_ASSERT(progress == HttpRequestParseStatus::Done);
+  RC_ASSERT(progress == HttpRequestParseStatus::Complete);
   RC_ASSERT(parser.takeRequest().body == "hello");
 }
 
