--- a/source/router/gateway.h
+++ b/source/router/gateway.h
@@ -59,7 +59,7 @@
   void setProcessCount(std::size_t process_count) { budget_.setProcessCount(process_count); }
 
   /// Handles a completely received request.
-  void handle(HttpRequest http, const HttpReplier& replier);
+  void handle(HttpRequest http, const StrictHttpResponder& replier);
 
   /// An owner table has changed or a key has been acquired: retries the requests that wait for an owner.
   void onOwnersChanged();
@@ -77,7 +77,7 @@
 
   using Request = GatewayRequest;
 
-  void refuseAtOnce(const HttpRequest& http, const HttpReplier& replier, const Refusal& refusal);
+  void refuseAtOnce(const HttpRequest& http, const StrictHttpResponder& replier, const Refusal& refusal);
   void claim(RequestNumber number);
   void onClaim(RequestNumber number, ClaimResult answer);
   void dispatch(RequestNumber number);
--- a/source/router/peer_client.cc
+++ b/source/router/peer_client.cc
@@ -31,7 +31,7 @@
     pinged_at = {};
     auto frame = decodeRouterFrame(message);
     if (!frame || (!up && !acceptHello(frame.value()))) {
-      transport.breakNow();
+      transport.abort();
       return;
     }
     client.onFrame(node, std::move(frame.value()));
@@ -51,7 +51,7 @@
     return true;
   }
 
-  void onEnd() override {
+  void onClosed() override {
     // Posted, since a stream must not be destroyed in its own callback.
     ended = true;
     client.loop_.post([owner = &client, alive = client.alive_, to = node] {
@@ -191,7 +191,7 @@
   directory_.markUnreachable(stream.node);
   events_.on_reachable(stream.node, false);
   const std::vector<ExchangeId> open = pendingAt(stream.node);
-  stream.transport.breakNow();
+  stream.transport.abort();
   // The outcome of the other requests is queried once the node is reachable again.
   for (const ExchangeId exchange : open) {
     const auto found = pending_.find(exchange);
@@ -308,7 +308,7 @@
   }
   std::string& bytes = partial_replies[part.exchange];
   bytes += part.bytes;
-  const bool too_long = bytes.size() > peerStreamOptions().message_limit;
+  const bool too_long = bytes.size() > peerStreamOptions().max_message_bytes;
   if (!part.last && !too_long) {
     return;
   }
@@ -316,7 +316,7 @@
   partial_replies.erase(part.exchange);
   auto* reply = frame ? std::get_if<ForwardReplyFrame>(&frame.value()) : nullptr;
   if (reply == nullptr || too_long) {
-    found->second->transport.breakNow();
+    found->second->transport.abort();
     return;
   }
   onReply(std::move(*reply));
--- a/source/router/router_process.h
+++ b/source/router/router_process.h
@@ -92,7 +92,7 @@
   HeartbeatResponder::Ports responderPorts();
   /// Records that an object or a report could not be decoded and is ignored.
   void onUnreadable(const char* part, const std::string& what);
-  void onReportRequest(const HttpRequest& request, const HttpReplier& replier);
+  void onReportRequest(const HttpRequest& request, const StrictHttpResponder& replier);
   PresenceChange onReport(const ServerReport& report);
   /// Asks the server which instance it is; the report counts only if it comes from that instance.
   void verifyInstance(const ServerReport& report);
@@ -121,7 +121,7 @@
   EventLoop& loop_;
   RouterSettings settings_;
   PlatformAdapters platform_;
-  BootClockImpl clock_;
+  BootTimeClock clock_;
   SystemRandom random_;
   NodeIdentity self_;
   EventLog log_;
