--- a/demo/demo_main.cc
+++ b/demo/demo_main.cc
@@ -1,6 +1,6 @@
 /// @file
-/// Program `shedlever-demo`: a whole deployment of real processes on loopback under load; an owner's server and router
-/// are killed; a summary. Ends with 0 only if nothing that must hold was broken.
+/// Program `shedlever-demo`: runs a complete deployment of real processes on loopback under load, kills the server and
+/// the router of a node that owns keys, and prints a summary. Exits with 0 only if no guarantee was violated.
 
 #include <csignal>
 #include <cstdlib>
@@ -20,65 +20,67 @@
 
 using namespace shedlever;
 
-constexpr std::size_t kServersOfEach = 3;
-constexpr Duration kStartTime = std::chrono::seconds(6);
-constexpr Duration kBeforeKill = std::chrono::seconds(4);
-constexpr Duration kLoadLength = std::chrono::seconds(16);
-constexpr Duration kProgramCap = std::chrono::seconds(20);
-constexpr Duration kKeepStep = std::chrono::milliseconds(100);
-constexpr double kRate = 200;
+constexpr std::size_t kNodesPerService = 3;
+constexpr Duration kStartupDuration = std::chrono::seconds(6);
+constexpr Duration kTimeBeforeKill = std::chrono::seconds(4);
+constexpr Duration kLoadDuration = std::chrono::seconds(16);
+constexpr Duration kProgramTimeLimit = std::chrono::seconds(20);
+constexpr Duration kRestartCheckInterval = std::chrono::milliseconds(100);
+constexpr double kRequestsPerSecond = 200;
 
-void say(const std::string& line) { std::cout << "demo: " << line << std::endl; }
+void print(const std::string& line) { std::cout << "demo: " << line << std::endl; }
 
 double milliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1000.0; }
 
-load::LoadConfig loadOf(const soak::LocalDeployment& deployment,
-                        const std::vector<std::unique_ptr<soak::LocalNode>>& nodes) {
+load::LoadConfig makeLoadConfig(const soak::LocalDeployment& deployment,
+                                const std::vector<std::unique_ptr<soak::LocalNode>>& nodes) {
   load::LoadConfig config;
   for (const auto& node : nodes) {
     config.gateways.push_back(node->clients);
   }
   config.services = {{ServiceName("records"), "/records/", false}, {ServiceName("bookings"), "/bookings/", true}};
   config.tenants = {{TenantName("amber"), "demo-credential-amber", 2}, {TenantName("blue"), "demo-credential-blue", 1}};
-  config.rate = kRate;
-  config.length = kLoadLength;
+  config.rate = kRequestsPerSecond;
+  config.length = kLoadDuration;
   config.seed = deployment.config().seed;
   return config;
 }
 
-/// Counts what must not be.
-class Rules {
+/// Prints the results of checks and counts failed ones.
+class ResultChecks {
  public:
-  void mustBeZero(const std::string& what, std::size_t count) {
+  void expectZero(const std::string& what, std::size_t count) {
     std::cout << "  " << (count == 0 ? "ok    " : "BROKEN") << " " << what << ": " << count << "\n";
-    broken_ += count == 0 ? 0 : 1;
+    failed_ += count == 0 ? 0 : 1;
   }
-  bool allHold() const { return broken_ == 0; }
+  bool allPassed() const { return failed_ == 0; }
 
  private:
-  int broken_ = 0;
+  int failed_ = 0;
 };
 
-/// @return idempotency keys under which more than one request ran.
-std::size_t doubleRuns(const std::vector<load::RequestRecord>& records, const check::RunChecks& checks) {
+/// @return the number of idempotency keys under which servers executed requests more than once.
+std::size_t countDuplicateExecutions(const std::vector<load::RequestRecord>& records, const check::RunChecks& checks) {
   std::map<std::string, std::size_t> runs;
   for (const load::RequestRecord& record : records) {
     if (!record.idempotency_key.empty()) {
       runs[record.idempotency_key.value] += checks.runsOf(record.id.value);
     }
   }
-  std::size_t twice = 0;
+  std::size_t duplicates = 0;
   for (const auto& [key, count] : runs) {
-    twice += count > 1 ? 1 : 0;
+    duplicates += count > 1 ? 1 : 0;
   }
-  return twice;
+  return duplicates;
 }
 
-std::size_t notRunButRan(const std::vector<load::RequestRecord>& records, const check::RunChecks& checks) {
+/// @return the number of requests that were executed although their callers were told that they were not.
+std::size_t countExecutedReportedAsNotRun(const std::vector<load::RequestRecord>& records,
+                                          const check::RunChecks& checks) {
   std::size_t wrong = 0;
   for (const load::RequestRecord& record : records) {
-    const bool told = record.outcome == load::CallerOutcome::NotRun && !record.id.empty();
-    wrong += told && checks.runsOf(record.id.value) > 0 ? 1 : 0;
+    const bool reported_not_run = record.outcome == load::CallerOutcome::NotRun && !record.id.empty();
+    wrong += reported_not_run && checks.runsOf(record.id.value) > 0 ? 1 : 0;
   }
   return wrong;
 }
@@ -93,19 +95,19 @@
             << load::reportText(report) << "\nlongest unavailable time of a key, ms: proved "
             << milliseconds(report.unavailable.proved_longest) << ", at most "
             << milliseconds(report.unavailable.longest) << "\nruns on servers " << checks.counts().runs
-            << "\n\nwhat must hold\n";
-  Rules rules;
+            << "\n\nguarantees\n";
+  ResultChecks results;
   for (const std::string& sentence : checks.violations()) {
     std::cout << "  " << sentence << "\n";
   }
-  rules.mustBeZero("broken promises in the servers' logs", checks.violations().size());
-  rules.mustBeZero("idempotency keys that ran twice", doubleRuns(records, checks));
-  rules.mustBeZero("told not run but ran", notRunButRan(records, checks));
-  rules.mustBeZero("wrong answers", report.tally.wrong());
-  rules.mustBeZero("cut answers", report.tally.cut());
+  results.expectZero("violations in the servers' logs", checks.violations().size());
+  results.expectZero("idempotency keys executed more than once", countDuplicateExecutions(records, checks));
+  results.expectZero("reported as not run but executed", countExecutedReportedAsNotRun(records, checks));
+  results.expectZero("wrong responses", report.tally.wrong());
+  results.expectZero("truncated responses", report.tally.cut());
   const bool served = report.tally.count(load::CallerOutcome::Answered) * 10 > report.tally.total() * 8;
-  rules.mustBeZero("less than eight of ten requests answered", served ? 0 : 1);
-  return rules.allHold();
+  results.expectZero("less than 80% of requests answered", served ? 0 : 1);
+  return results.allPassed();
 }
 
 int runDemo(const std::string& settings, const std::string& folder, bool keys_by_heartbeat) {
@@ -117,30 +119,30 @@
   config.request_duration_ms = 10;
   config.keys_by_heartbeat = keys_by_heartbeat;
   soak::LocalDeployment deployment(loop, config);
-  say("starting the store, six servers with a router beside each, keys by " +
-      std::string(keys_by_heartbeat ? "heartbeat" : "request") + "; logs in " + folder);
+  print("starting the store and six servers, each with a router; keys by " +
+        std::string(keys_by_heartbeat ? "heartbeat" : "request") + "; logs in " + folder);
   deployment.startStore();
   const std::string store = toString(deployment.store());
-  if (deployment.runProgram("shedlever", {"config", "apply", settings, "--platform", store}, kProgramCap) != 0) {
-    say("settings were not accepted; see " + folder + "/shedlever.log");
+  if (deployment.runProgram("shedlever", {"config", "apply", settings, "--platform", store}, kProgramTimeLimit) != 0) {
+    print("the settings were rejected; see " + folder + "/shedlever.log");
     return EXIT_FAILURE;
   }
-  for (std::size_t i = 0; i < kServersOfEach; ++i) {
+  for (std::size_t i = 0; i < kNodesPerService; ++i) {
     deployment.addNode("records", true);
     deployment.addNode("bookings", false);
   }
-  deployment.runFor(kStartTime);
+  deployment.runFor(kStartupDuration);
   const BootClockImpl clock;
-  load::LoadRunner runner(loop, clock, loadOf(deployment, deployment.nodes()));
-  say("load: " + std::to_string(static_cast<int>(kRate)) + " requests a second");
+  load::LoadRunner runner(loop, clock, makeLoadConfig(deployment, deployment.nodes()));
+  print("load: " + std::to_string(static_cast<int>(kRequestsPerSecond)) + " requests per second");
   runner.start();
-  deployment.runFor(kBeforeKill);
+  deployment.runFor(kTimeBeforeKill);
   soak::LocalNode& victim = *deployment.nodes().front();
-  say("SIGKILL to the router and the server of " + victim.name + ", an owner of keys");
+  print("SIGKILL to the router and the server of " + victim.name + ", an owner of keys");
   victim.router_process->signal(SIGKILL);
   victim.server_process->signal(SIGKILL);
   while (!runner.done()) {
-    deployment.runFor(kKeepStep);
+    deployment.runFor(kRestartCheckInterval);
     deployment.restartExitedProcesses();
   }
   return printSummary(runner.records(), deployment) ? EXIT_SUCCESS : EXIT_FAILURE;
--- a/soak/config_probe.cc
+++ b/soak/config_probe.cc
@@ -6,11 +6,11 @@
 
 using std::chrono::milliseconds;
 
-/// A changed configuration is in force everywhere after two seconds; a busy machine is given more. A watch that is
-/// never answered ends after 18 s.
+/// Nodes usually activate a changed configuration within two seconds; the rest is slack for a busy machine. A watch
+/// that is never answered times out only after 18 s, so waiting for that timeout alone exceeds the limit.
 constexpr Duration kActivationTimeout = std::chrono::seconds(10);
-constexpr Duration kInterval = milliseconds(100);
-constexpr Duration kTimeout = milliseconds(2500);
+constexpr Duration kProbeInterval = milliseconds(100);
+constexpr Duration kRequestTimeout = milliseconds(2500);
 constexpr int kNotFound = 404;
 
 }  // namespace
@@ -29,25 +29,26 @@
       routePrefixOfVersion(version) + "x",
       {{"Host", "h"}, {"X-Request-Id", "p" + std::to_string(++last_request_)}, {"X-Request-Deadline", "2000"}},
       {}};
-  clients_[client]->send(std::move(request), kTimeout, [this, client, version, waited](const HttpExchange& exchange) {
-    onResponse(client, version, waited, exchange);
-  });
+  clients_[client]->send(
+      std::move(request), kRequestTimeout,
+      [this, client, version, waited](const HttpExchange& exchange) { onResponse(client, version, waited, exchange); });
 }
 
 void ConfigProbe::onResponse(std::size_t client, std::uint64_t version, Duration waited, const HttpExchange& exchange) {
-  // Whether there is room for it is another question.
-  const bool in_force = exchange.status == HttpExchangeStatus::Complete && exchange.response.status != kNotFound;
-  const bool replaced = version != version_;
-  if (in_force || replaced) {
-    seen_in_force_ += in_force ? 1 : 0;
+  // Any status other than 404 shows that the route exists, also a refusal because of overload.
+  const bool is_active = exchange.status == HttpExchangeStatus::Complete && exchange.response.status != kNotFound;
+  const bool superseded = version != version_;
+  if (is_active || superseded) {
+    active_count_ += is_active ? 1 : 0;
     return;
   }
   if (waited >= kActivationTimeout) {
-    broken_.push_back("configuration " + std::to_string(version) + " is not in force at node " +
-                      std::to_string(client));
+    violations_.push_back("configuration " + std::to_string(version) + " is not active at node " +
+                          std::to_string(client));
     return;
   }
-  loop_.runAfter(kInterval, [this, client, version, waited] { sendProbe(client, version, waited + kInterval); });
+  loop_.runAfter(kProbeInterval,
+                 [this, client, version, waited] { sendProbe(client, version, waited + kProbeInterval); });
 }
 
 }  // namespace shedlever::soak
--- a/soak/config_probe.h
+++ b/soak/config_probe.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Whether a changed configuration comes into force at every node.
+/// Checks that every node activates a changed configuration in time.
 
 #include <cstdint>
 #include <memory>
@@ -13,25 +13,25 @@
 
 namespace shedlever::soak {
 
-/// @return path prefix of the route that only this version has.
+/// @return the path prefix of the route that only this configuration version contains.
 std::string routePrefixOfVersion(std::uint64_t version);
 
-/// Asks each node for the route that only the newest configuration has, until it is served.
+/// Requests, at each node, the route that only the newest configuration contains, until the node no longer answers 404.
 class ConfigProbe {
  public:
-  /// @param clients one to each node. All outlive this.
+  /// @param clients one per node; the loop and the clients must outlive the probe.
   ConfigProbe(EventLoop& loop, std::vector<std::unique_ptr<HttpClient>>& clients) : loop_(loop), clients_(clients) {}
 
-  /// A version was written: questions for older ones end.
+  /// Sets the version that was written last; probes for older versions end.
   void setExpectedVersion(std::uint64_t version) { version_ = version; }
 
-  /// Asks all nodes for the version that was written last.
+  /// Starts probing all nodes for the version that was written last.
   void start();
 
-  /// @return how many nodes were seen to have a changed configuration in force.
-  std::size_t activeCount() const { return seen_in_force_; }
-  /// @return what was broken: nodes at which a version was not in force in time.
-  const std::vector<std::string>& violations() const { return broken_; }
+  /// @return the number of probes that found the expected version active at a node.
+  std::size_t activeCount() const { return active_count_; }
+  /// @return one sentence for each node that did not activate a version in time.
+  const std::vector<std::string>& violations() const { return violations_; }
 
  private:
   void sendProbe(std::size_t client, std::uint64_t version, Duration waited);
@@ -41,8 +41,8 @@
   std::vector<std::unique_ptr<HttpClient>>& clients_;
   std::uint64_t version_ = 0;
   std::uint64_t last_request_ = 0;
-  std::size_t seen_in_force_ = 0;
-  std::vector<std::string> broken_;
+  std::size_t active_count_ = 0;
+  std::vector<std::string> violations_;
 };
 
 }  // namespace shedlever::soak
--- a/soak/fatal_requests.cc
+++ b/soak/fatal_requests.cc
@@ -4,15 +4,15 @@
 
 namespace {
 
-constexpr Duration kTimeout = std::chrono::milliseconds(2500);
+constexpr Duration kRequestTimeout = std::chrono::milliseconds(2500);
 constexpr std::size_t kMaxCrashesPerRequest = 3;
-/// Names of the two requests: what their ids begin with.
+/// Prefixes of the request ids, by which the checker counts the server instances that began each request.
 constexpr const char* kSequentialName = "in-turn-";
 constexpr const char* kConcurrentName = "at-once-";
-/// Far apart, so that the two have different owners at first.
+/// The keys are far apart, so that they have different owners initially.
 constexpr const char* kSequentialKey = "7";
 constexpr const char* kConcurrentKey = "40000";
-/// Rounds with the one request alone: the other one's ends would stand beside it.
+/// Rounds that send only the sequential request, so that its crashes are counted apart from those of the other one.
 constexpr std::size_t kSequentialRounds = 12;
 
 }  // namespace
@@ -25,7 +25,7 @@
                        {"X-Request-Deadline", "2000"},
                        {"X-Shard-Key", key}},
                       {}};
-  clients_[client]->send(std::move(request), kTimeout, [](const HttpExchange&) {});
+  clients_[client]->send(std::move(request), kRequestTimeout, [](const HttpExchange&) {});
 }
 
 void FatalRequests::sendRound() {
@@ -40,17 +40,18 @@
 }
 
 std::vector<std::string> FatalRequests::violations(const check::RunChecks& checks) const {
-  std::vector<std::string> broken;
+  std::vector<std::string> violations;
   for (const char* name : {kSequentialName, kConcurrentName}) {
-    const std::size_t lives = checks.livesThatBegan(name);
-    if (lives == 0 && rounds_ > kSequentialRounds) {
-      broken.push_back(std::string("the fatal request ") + name + " reached no server");
+    const std::size_t instances = checks.livesThatBegan(name);
+    if (instances == 0 && rounds_ > kSequentialRounds) {
+      violations.push_back(std::string("the fatal request ") + name + " reached no server");
     }
-    if (lives > kMaxCrashesPerRequest) {
-      broken.push_back(std::string("the fatal request ") + name + " cost " + std::to_string(lives) + " servers");
+    if (instances > kMaxCrashesPerRequest) {
+      violations.push_back(std::string("the fatal request ") + name + " crashed " + std::to_string(instances) +
+                           " servers");
     }
   }
-  return broken;
+  return violations;
 }
 
 }  // namespace shedlever::soak
--- a/soak/fatal_requests.h
+++ b/soak/fatal_requests.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Requests under which servers end, as clients bring them: the same words at machines of several services.
+/// Sends requests that crash servers: the same request, from clients of several services' nodes.
 
 #include <functional>
 #include <memory>
@@ -13,20 +13,21 @@
 
 namespace shedlever::soak {
 
-/// Path of such a request; servers end when they have worked on it.
+/// Path of a fatal request; a server crashes when it has executed one.
 inline constexpr const char* kFatalPath = "/search/fatal";
 
-/// Two of them, told apart by their query: one comes at one machine after the other, the other at all machines at once,
-/// again and again. Each may cost three servers in all, whatever machines it came in by.
+/// Repeats two fatal requests that differ in their query: one goes to a single node at a time in turn, the other to all
+/// nodes at once. Each may crash at most three server instances in total, whichever nodes receive it.
 class FatalRequests {
  public:
-  /// @param clients one to each machine; outlive this.
+  /// @param clients one per node; must outlive this object.
   explicit FatalRequests(std::vector<std::unique_ptr<HttpClient>>& clients) : clients_(clients) {}
 
-  /// Sends the next round: the one request at the next machine, the other at all of them.
+  /// Sends the next round. The first rounds send the one request to the next node, all later rounds send the other
+  /// request to every node.
   void sendRound();
 
-  /// @return what was broken: a request at which more lives of servers ended than may.
+  /// @return one sentence for each request that crashed too many server instances, or that reached none.
   std::vector<std::string> violations(const check::RunChecks& checks) const;
 
  private:
--- a/soak/fault_proxy.cc
+++ b/soak/fault_proxy.cc
@@ -9,14 +9,14 @@
 
 namespace shedlever::soak {
 
-/// One proxied connection: `near` is the side that connected, `far` the target.
+/// One proxied connection: `client` is the side that connected.
 struct FaultProxy::Connection {
   FaultProxy* proxy = nullptr;
-  BufferEventHandle near;
-  BufferEventHandle far;
-  bool near_ended = false;
-  bool far_ended = false;
-  bool pump_planned = false;
+  BufferEventHandle client;
+  BufferEventHandle target;
+  bool client_closed = false;
+  bool target_closed = false;
+  bool forward_scheduled = false;
 };
 
 leaf::result<std::unique_ptr<FaultProxy>> FaultProxy::listen(EventLoop& loop, const Endpoint& target) {
@@ -32,32 +32,33 @@
 FaultProxy::~FaultProxy() { *alive_ = false; }
 
 void FaultProxy::accept(evutil_socket_t socket) {
-  auto pair = std::make_unique<Connection>();
-  pair->proxy = this;
-  pair->near.reset(bufferevent_socket_new(loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE));
-  pair->far.reset(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
+  auto connection = std::make_unique<Connection>();
+  connection->proxy = this;
+  connection->client.reset(bufferevent_socket_new(loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE));
+  connection->target.reset(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
   const auto on_read = [](bufferevent*, void* argument) {
     auto* at = static_cast<Connection*>(argument);
-    at->proxy->pump(*at);
+    at->proxy->forward(*at);
   };
   const auto on_event = [](bufferevent* stream, short events, void* argument) {
     auto* at = static_cast<Connection*>(argument);
     if ((events & BEV_EVENT_CONNECTED) != 0) {
       return;
     }
-    (stream == at->near.get() ? at->near_ended : at->far_ended) = true;
-    at->proxy->pump(*at);
+    (stream == at->client.get() ? at->client_closed : at->target_closed) = true;
+    at->proxy->forward(*at);
   };
-  for (bufferevent* stream : {pair->near.get(), pair->far.get()}) {
-    bufferevent_setcb(stream, on_read, nullptr, on_event, pair.get());
+  for (bufferevent* stream : {connection->client.get(), connection->target.get()}) {
+    bufferevent_setcb(stream, on_read, nullptr, on_event, connection.get());
     bufferevent_enable(stream, EV_READ | EV_WRITE);
   }
   const auto address = toSocketAddress(target_);
-  bufferevent_socket_connect(pair->far.get(), const_cast<sockaddr*>(address->get()), static_cast<int>(address->length));
-  pairs_.push_back(std::move(pair));
+  bufferevent_socket_connect(connection->target.get(), const_cast<sockaddr*>(address->get()),
+                             static_cast<int>(address->length));
+  connections_.push_back(std::move(connection));
 }
 
-bool FaultProxy::passes(bool towards) const {
+bool FaultProxy::isForwarding(bool to_target) const {
   switch (fault_) {
     case LinkFault::None:
     case LinkFault::Delayed:
@@ -65,44 +66,44 @@
     case LinkFault::Blocked:
       return false;
     case LinkFault::ToTargetOnly:
-      return towards;
+      return to_target;
     case LinkFault::FromTargetOnly:
-      return !towards;
+      return !to_target;
   }
   return true;
 }
 
-void FaultProxy::pump(Connection& pair) {
-  if (fault_ == LinkFault::Delayed && !pair.pump_planned) {
-    pair.pump_planned = true;
-    loop_.runAfter(delay_, [this, alive = alive_, at = &pair] {
-      const bool still_there =
-          *alive && std::any_of(pairs_.begin(), pairs_.end(), [at](const auto& other) { return other.get() == at; });
-      if (still_there) {
-        pump(*at);
-        at->pump_planned = false;
+void FaultProxy::forward(Connection& connection) {
+  if (fault_ == LinkFault::Delayed && !connection.forward_scheduled) {
+    connection.forward_scheduled = true;
+    loop_.runAfter(delay_, [this, alive = alive_, at = &connection] {
+      const bool is_open = *alive && std::any_of(connections_.begin(), connections_.end(),
+                                                 [at](const auto& other) { return other.get() == at; });
+      if (is_open) {
+        forward(*at);
+        at->forward_scheduled = false;
       }
     });
     return;
   }
-  if (passes(true)) {
-    bufferevent_write_buffer(pair.far.get(), bufferevent_get_input(pair.near.get()));
+  if (isForwarding(true)) {
+    bufferevent_write_buffer(connection.target.get(), bufferevent_get_input(connection.client.get()));
   }
-  if (passes(false)) {
-    bufferevent_write_buffer(pair.near.get(), bufferevent_get_input(pair.far.get()));
+  if (isForwarding(false)) {
+    bufferevent_write_buffer(connection.client.get(), bufferevent_get_input(connection.target.get()));
   }
-  if ((pair.near_ended && passes(true)) || (pair.far_ended && passes(false))) {
-    end(pair);
+  if ((connection.client_closed && isForwarding(true)) || (connection.target_closed && isForwarding(false))) {
+    closeSoon(connection);
   }
 }
 
-void FaultProxy::end(Connection& pair) {
-  // What was passed on is still to be written: the kernel gets it before the socket is closed.
-  bufferevent_flush(pair.near.get(), EV_WRITE, BEV_FLUSH);
-  bufferevent_flush(pair.far.get(), EV_WRITE, BEV_FLUSH);
-  loop_.runAfter(std::chrono::milliseconds(5), [this, alive = alive_, at = &pair] {
+void FaultProxy::closeSoon(Connection& connection) {
+  // Hands the forwarded bytes to the kernel before the sockets are closed.
+  bufferevent_flush(connection.client.get(), EV_WRITE, BEV_FLUSH);
+  bufferevent_flush(connection.target.get(), EV_WRITE, BEV_FLUSH);
+  loop_.runAfter(std::chrono::milliseconds(5), [this, alive = alive_, at = &connection] {
     if (*alive) {
-      std::erase_if(pairs_, [at](const auto& other) { return other.get() == at; });
+      std::erase_if(connections_, [at](const auto& other) { return other.get() == at; });
     }
   });
 }
@@ -111,22 +112,22 @@
   fault_ = fault;
   delay_ = delay;
   std::vector<Connection*> all;
-  for (const auto& pair : pairs_) {
-    all.push_back(pair.get());
+  for (const auto& connection : connections_) {
+    all.push_back(connection.get());
   }
-  for (Connection* pair : all) {
-    pump(*pair);
+  for (Connection* connection : all) {
+    forward(*connection);
   }
 }
 
 void FaultProxy::resetAll() {
-  for (const auto& pair : pairs_) {
-    for (bufferevent* stream : {pair->near.get(), pair->far.get()}) {
-      const linger now{1, 0};
-      setsockopt(bufferevent_getfd(stream), SOL_SOCKET, SO_LINGER, &now, sizeof(now));
+  for (const auto& connection : connections_) {
+    for (bufferevent* stream : {connection->client.get(), connection->target.get()}) {
+      const linger reset_on_close{1, 0};
+      setsockopt(bufferevent_getfd(stream), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
     }
   }
-  pairs_.clear();
+  connections_.clear();
 }
 
 }  // namespace shedlever::soak
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -1,7 +1,8 @@
 #pragma once
 
 /// @file
-/// A TCP proxy on loopback that harms what passes: delays it, resets it, lets it through one way or not at all.
+/// A TCP proxy on loopback that injects faults: it delays or blocks traffic, in one or both directions, and resets
+/// connections.
 
 #include <list>
 #include <memory>
@@ -12,13 +13,14 @@
 
 enum class LinkFault : std::uint8_t {
   None,
-  Blocked,         ///< nothing passes, nothing is closed
-  ToTargetOnly,    ///< only what the connecting side sends passes
-  FromTargetOnly,  ///< only what the other side sends passes
+  Blocked,         ///< forwards nothing and closes nothing
+  ToTargetOnly,    ///< forwards only what the connecting side sends
+  FromTargetOnly,  ///< forwards only what the target sends
   Delayed,
 };
 
-/// Bytes that arrive during a cut are held and pass when it heals, as TCP would send them again.
+/// Bytes that arrive while a direction is blocked are buffered and forwarded after the fault, as TCP would retransmit
+/// them.
 class FaultProxy {
  public:
   /// @return the proxy, or a NetworkError.
@@ -30,22 +32,22 @@
   const Endpoint& endpoint() const { return listener_->endpoint(); }
 
   void setFault(LinkFault fault, Duration delay = {});
-  /// Breaks all connections with a reset.
+  /// Closes all connections with a TCP reset.
   void resetAll();
 
  private:
   struct Connection;
   FaultProxy(EventLoop& loop, Endpoint target);
   void accept(evutil_socket_t socket);
-  void pump(Connection& pair);
-  void end(Connection& pair);
-  bool passes(bool towards) const;
+  void forward(Connection& connection);
+  void closeSoon(Connection& connection);
+  bool isForwarding(bool to_target) const;
 
   EventLoop& loop_;
   Endpoint target_;
   LinkFault fault_ = LinkFault::None;
   Duration delay_{};
-  std::list<std::unique_ptr<Connection>> pairs_;
+  std::list<std::unique_ptr<Connection>> connections_;
   std::unique_ptr<TcpListener> listener_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/soak/local_deployment.cc
+++ b/soak/local_deployment.cc
@@ -19,7 +19,7 @@
   return result ? std::move(result.value()) : nullptr;
 }
 
-bool endedByItself(const test::ChildExit& end) { return end.status != 0 && end.signal != SIGKILL; }
+bool failedByItself(const test::ChildExit& end) { return end.status != 0 && end.signal != SIGKILL; }
 
 }  // namespace
 
@@ -28,8 +28,8 @@
 
 LocalDeployment::~LocalDeployment() = default;
 
-void LocalDeployment::runFor(Duration span) {
-  loop_.runUntil([] { return false; }, span);
+void LocalDeployment::runFor(Duration duration) {
+  loop_.runUntil([] { return false; }, duration);
 }
 
 void LocalDeployment::startStore() {
@@ -37,16 +37,16 @@
   store_ =
       orNull(test::ChildProcess::start({config_.binary_folder + "/standin-metadata",
                                         {"--listen", toString(store_endpoint_), "--seed", std::to_string(config_.seed)},
-                                        logOf("store")}));
+                                        logFileOf("store")}));
   runFor(kStoreStartDelay);
 }
 
 LocalNode& LocalDeployment::addNode(const std::string& service, bool divided) {
   nodes_.push_back(std::make_unique<LocalNode>());
   LocalNode& node = *nodes_.back();
-  nameNode(node);
+  assignName(node);
   node.divided_by_key = divided;
-  // Every other one: both kinds of restarts come in each run.
+  // Alternates, so that each run covers restarts with the old id and with a new one.
   node.keeps_server_id = nodes_.size() % 2 == 0;
   node.service = service;
   for (Endpoint* endpoint : {&node.clients, &node.peers, &node.readiness, &node.reports, &node.server}) {
@@ -59,10 +59,10 @@
   return node;
 }
 
-void LocalDeployment::nameNode(LocalNode& node) {
+void LocalDeployment::assignName(LocalNode& node) {
   node.name = "node-" + std::to_string(server_logs_.size());
   node.settings_file = config_.run_folder + "/" + node.name + ".json";
-  node.server_log = logOf(node.name + "-server");
+  node.server_log = logFileOf(node.name + "-server");
   server_logs_.push_back(node.server_log);
 }
 
@@ -72,7 +72,7 @@
       process->signal(SIGKILL);
     }
   }
-  nameNode(node);
+  assignName(node);
   node.service = service;
   node.divided_by_key = divided;
 }
@@ -93,7 +93,7 @@
       {"stop", {{"grace", "4s"}, {"clients_leave", "1s"}}}};
   std::ofstream(node.settings_file) << settings.dump(1);
   node.router_process = orNull(test::ChildProcess::start(
-      {config_.binary_folder + "/shedleverd", {"--settings", node.settings_file}, logOf(node.name)}));
+      {config_.binary_folder + "/shedleverd", {"--settings", node.settings_file}, logFileOf(node.name)}));
 }
 
 void LocalDeployment::startServer(LocalNode& node) {
@@ -120,13 +120,13 @@
 }
 
 std::vector<std::string> LocalDeployment::restartExitedProcesses() {
-  std::vector<std::string> ends;
+  std::vector<std::string> failures;
   for (const auto& node : nodes_) {
     if (node->router_process) {
       if (const auto end = node->router_process->poll()) {
-        if (endedByItself(*end)) {
-          ends.push_back(node->name + ": router ended by itself, status " + std::to_string(end->status) + ", signal " +
-                         std::to_string(end->signal));
+        if (failedByItself(*end)) {
+          failures.push_back(node->name + ": router exited unexpectedly, status " + std::to_string(end->status) +
+                             ", signal " + std::to_string(end->signal));
         }
         node->router_process.reset();
       }
@@ -141,13 +141,13 @@
       startServer(*node);
     }
   }
-  return ends;
+  return failures;
 }
 
-int LocalDeployment::runProgram(const std::string& program, const std::vector<std::string>& arguments, Duration cap) {
+int LocalDeployment::runProgram(const std::string& program, const std::vector<std::string>& arguments, Duration limit) {
   const auto child =
-      orNull(test::ChildProcess::start({config_.binary_folder + "/" + program, arguments, logOf(program)}));
-  const auto end = child ? child->waitForExit(loop_, cap) : std::nullopt;
+      orNull(test::ChildProcess::start({config_.binary_folder + "/" + program, arguments, logFileOf(program)}));
+  const auto end = child ? child->waitForExit(loop_, limit) : std::nullopt;
   return end ? end->status : -1;
 }
 
--- a/soak/local_deployment.h
+++ b/soak/local_deployment.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One deployment of real processes on loopback: the store, and nodes of a server with a router beside it.
+/// A deployment of real processes on loopback: the store, and nodes that each run a server and a router.
 
 #include <functional>
 #include <memory>
@@ -17,26 +17,26 @@
 
 struct LocalDeploymentConfig {
   std::uint64_t seed = 1;
-  /// Where the programs are.
+  /// Folder of the programs.
   std::string binary_folder;
-  /// For settings and logs; exists.
+  /// Existing folder for settings files and logs.
   std::string run_folder;
   /// "shedlever" or "platform".
   std::string interface_kind = "platform";
   unsigned request_duration_ms = 20;
-  /// Servers take their keys in the acknowledgements of their heartbeats.
+  /// Whether servers receive their keys in the acknowledgements of their heartbeats.
   bool keys_by_heartbeat = false;
-  /// Path of a request under which servers end; empty for none.
+  /// Path of requests that crash servers; empty for none.
   std::string fatal_path;
 };
 
-/// A router, the server beside it, and the proxies on the router's links.
+/// A router, its server, and the proxies on the router's connections to the store and from peers.
 struct LocalNode {
   std::string name;
   std::string service;
   /// Whether the service is divided by key.
   bool divided_by_key = false;
-  /// Whether the server starts again under the id that it had.
+  /// Whether a restarted server keeps its id.
   bool keeps_server_id = false;
   Endpoint clients;
   Endpoint peers;
@@ -47,10 +47,10 @@
   std::string server_log;
   std::unique_ptr<FaultProxy> store_link;
   std::unique_ptr<FaultProxy> peer_link;
-  /// Null while the process does not run.
+  /// Null while the process is not running.
   std::unique_ptr<test::ChildProcess> router_process;
   std::unique_ptr<test::ChildProcess> server_process;
-  /// Whether it is started again when it has ended.
+  /// Whether the process is started again after it has ended.
   bool restart_router = true;
   bool restart_server = true;
 };
@@ -66,32 +66,33 @@
   /// Starts a node's server and router.
   LocalNode& addNode(const std::string& service, bool divided);
 
-  /// The node and its server are lost for good; a new node of that service gets its addresses. Its processes are
+  /// Kills the node's processes for good and gives its addresses to a new node of the service. The new processes are
   /// started by `restartExitedProcesses`.
   void replaceNode(LocalNode& node, const std::string& service, bool divided);
 
-  /// Starts again what has ended and is wanted.
-  /// @return how routers ended that nobody told to end, in words.
+  /// Starts the processes that have ended and are to be restarted.
+  /// @return one sentence for each router that ended with an error and not by SIGKILL.
   std::vector<std::string> restartExitedProcesses();
 
-  /// Runs a program to its end.
-  /// @return its exit status; -1 when a signal or the cap ended it.
-  int runProgram(const std::string& program, const std::vector<std::string>& arguments, Duration cap);
+  /// Runs a program until it ends.
+  /// @return its exit status; -1 if it could not be started, was ended by a signal or exceeded the time limit.
+  int runProgram(const std::string& program, const std::vector<std::string>& arguments, Duration limit);
 
-  void runFor(Duration span);
+  /// Runs the event loop for the duration.
+  void runFor(Duration duration);
 
   const Endpoint& store() const { return store_endpoint_; }
   std::vector<std::unique_ptr<LocalNode>>& nodes() { return nodes_; }
-  /// Logs of all servers there have been.
+  /// Log files of all servers of the run, those of replaced nodes included.
   const std::vector<std::string>& serverLogs() const { return server_logs_; }
   const LocalDeploymentConfig& config() const { return config_; }
 
  private:
-  /// Gives the node a name that no node had before, and files by it.
-  void nameNode(LocalNode& node);
+  /// Gives the node an unused name, and files named after it.
+  void assignName(LocalNode& node);
   void startRouter(LocalNode& node);
   void startServer(LocalNode& node);
-  std::string logOf(const std::string& name) const { return config_.run_folder + "/" + name + ".log"; }
+  std::string logFileOf(const std::string& name) const { return config_.run_folder + "/" + name + ".log"; }
 
   EventLoop& loop_;
   LocalDeploymentConfig config_;
--- a/soak/loopback_ports.cc
+++ b/soak/loopback_ports.cc
@@ -6,21 +6,21 @@
 
 namespace {
 
-/// Ports below those that the kernel gives to connecting sockets: a process that is restarted must find its port free.
+/// Below the kernel's range for outgoing connections, so that the port of a restarted process is still free.
 constexpr std::uint16_t kFirstPort = 15000;
-constexpr std::uint16_t kBlocks = 10;
-/// Enough for some two hundred nodes of seven ports each.
-constexpr std::uint16_t kPortsOfBlock = 1500;
+constexpr std::uint16_t kBlockCount = 10;
+/// Enough for about two hundred nodes with seven ports each.
+constexpr std::uint16_t kPortsPerBlock = 1500;
 
 }  // namespace
 
-LoopbackPorts::LoopbackPorts(EventLoop& loop, std::uint64_t seed) : loop_(loop), random_(seed), block_(0) {
-  const std::uint64_t start = random_() % kBlocks;
-  for (std::uint64_t i = 0; i < kBlocks && !first_of_block_; ++i) {
-    block_ = static_cast<std::uint16_t>(kFirstPort + (start + i) % kBlocks * kPortsOfBlock);
-    first_of_block_ = listenAt(block_);
+LoopbackPorts::LoopbackPorts(EventLoop& loop, std::uint64_t seed) : loop_(loop), random_(seed), block_start_(0) {
+  const std::uint64_t start = random_() % kBlockCount;
+  for (std::uint64_t i = 0; i < kBlockCount && !block_reservation_; ++i) {
+    block_start_ = static_cast<std::uint16_t>(kFirstPort + (start + i) % kBlockCount * kPortsPerBlock);
+    block_reservation_ = listenAt(block_start_);
   }
-  if (!first_of_block_) {
+  if (!block_reservation_) {
     throw std::runtime_error("all blocks of loopback ports are in use");
   }
 }
@@ -32,8 +32,8 @@
 
 Endpoint LoopbackPorts::next() {
   while (true) {
-    const auto port = static_cast<std::uint16_t>(block_ + 1 + random_() % (kPortsOfBlock - 1));
-    if (given_.insert(port).second && listenAt(port)) {
+    const auto port = static_cast<std::uint16_t>(block_start_ + 1 + random_() % (kPortsPerBlock - 1));
+    if (allocated_.insert(port).second && listenAt(port)) {
       return {"127.0.0.1", port};
     }
   }
--- a/soak/loopback_ports.h
+++ b/soak/loopback_ports.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Ports on loopback for processes that may be restarted on them.
+/// Allocates loopback ports for processes that may be restarted on the same port.
 
 #include <memory>
 #include <random>
@@ -13,26 +13,28 @@
 
 namespace shedlever::soak {
 
-/// Gives no port twice, whether or not a process listens there yet. Two of these, in one process or in two, give
-/// different ones: each holds a block of ports, as long as it lives, by listening at the block's first.
+/// Allocates each port at most once, whether or not a process listens on it yet. Concurrent allocators, in one process
+/// or in several, use different ports: each reserves a block of ports for its lifetime by listening on the block's
+/// first port.
 class LoopbackPorts {
  public:
-  /// @param loop outlives the ports.
+  /// @param loop must outlive the allocator.
+  /// @throws std::runtime_error if all blocks are in use.
   LoopbackPorts(EventLoop& loop, std::uint64_t seed);
 
-  /// @return an endpoint that nobody listened at a moment ago.
+  /// @return an endpoint on which no process listened when it was allocated.
   Endpoint next();
 
  private:
-  /// @return a listener at the port; null if another has it.
+  /// @return a listener on the port; null if the port is in use.
   std::unique_ptr<TcpListener> listenAt(std::uint16_t port);
 
   EventLoop& loop_;
   std::mt19937_64 random_;
-  /// Holds the block.
-  std::unique_ptr<TcpListener> first_of_block_;
-  std::uint16_t block_;
-  std::set<std::uint16_t> given_;
+  /// Reserves the block.
+  std::unique_ptr<TcpListener> block_reservation_;
+  std::uint16_t block_start_;
+  std::set<std::uint16_t> allocated_;
 };
 
 }  // namespace shedlever::soak
--- a/soak/soak_main.cc
+++ b/soak/soak_main.cc
@@ -1,5 +1,6 @@
 /// @file
-/// Program `shedlever-soak`: real processes under random faults from outside. Ends by itself.
+/// Program `shedlever-soak`: runs real processes under injected random faults and exits with failure if a guarantee was
+/// violated.
 
 #include <boost/program_options.hpp>
 #include <csignal>
@@ -8,62 +9,63 @@
 #include <iostream>
 #include <string>
 
-#include "soak/soak_world.h"
+#include "soak/soak_runner.h"
 
 int main(int argc, char** argv) {
   namespace options = boost::program_options;
   using namespace shedlever;
-  // Connections break all the time here.
+  // Injected faults break connections, which would otherwise end this process.
   std::signal(SIGPIPE, SIG_IGN);
   soak::SoakConfig config;
   int seconds = 60;
   std::uint64_t rounds = 1;
   config.binary_folder = std::filesystem::canonical("/proc/self/exe").parent_path().string();
-  options::options_description flags("shedlever-soak: real processes under random faults, promises checked");
+  options::options_description flags(
+      "shedlever-soak: runs real processes under random faults and checks their guarantees");
   flags.add_options()("help", "this text")("seed", options::value(&config.seed), "first seed")(
-      "rounds", options::value(&rounds), "how many seeds, one after the other")("seconds", options::value(&seconds),
-                                                                                "of faults in each round")(
-      "rate", options::value(&config.requests_per_second), "requests a second")(
-      "keys-by-heartbeat", options::bool_switch(&config.keys_by_heartbeat), "servers take keys by heartbeat")(
+      "rounds", options::value(&rounds), "number of consecutive seeds")("seconds", options::value(&seconds),
+                                                                        "duration of fault injection in each round")(
+      "rate", options::value(&config.requests_per_second), "requests per second")(
+      "keys-by-heartbeat", options::bool_switch(&config.keys_by_heartbeat), "servers receive keys by heartbeat")(
       "planned", options::bool_switch(&config.maintenance_only),
-      "only planned work, of which no request may notice anything")(
+      "only maintenance, which must not interrupt any request")(
       "fatal", options::bool_switch(&config.fatal_only),
-      "only requests under which servers end, brought at machines of several services")(
-      "restores", options::bool_switch(&config.restore_store), "beside all else the store comes back from copies")(
+      "only requests that crash servers, sent to nodes of several services")(
+      "restores", options::bool_switch(&config.restore_store), "also restore the store from backups")(
       "folder", options::value(&config.run_folder)->default_value("soak-run"),
-      "for settings and logs; a folder a seed");
-  options::variables_map given;
+      "for settings and logs, with a subfolder per seed");
+  options::variables_map values;
   try {
-    options::store(options::parse_command_line(argc, argv, flags), given);
-    options::notify(given);
+    options::store(options::parse_command_line(argc, argv, flags), values);
+    options::notify(values);
   } catch (const options::error& error) {
     std::cerr << error.what() << "\n" << flags;
     return EXIT_FAILURE;
   }
-  if (given.contains("help")) {
+  if (values.contains("help")) {
     std::cout << flags;
     return EXIT_SUCCESS;
   }
   config.fault_duration = std::chrono::seconds(seconds);
   const std::string base = config.run_folder;
-  bool all_kept = true;
+  bool all_held = true;
   for (std::uint64_t round = 0; round < rounds; ++round) {
     config.run_folder = base + "/seed-" + std::to_string(config.seed);
     std::filesystem::remove_all(config.run_folder);
     std::filesystem::create_directories(config.run_folder);
     EventLoop loop;
-    soak::SoakRunner world(loop, config);
-    const std::vector<std::string> broken = world.run();
-    const check::CheckCounts counts = world.checks().counts();
-    std::cout << "seed " << config.seed << ": " << (broken.empty() ? "kept" : "BROKEN")
+    soak::SoakRunner runner(loop, config);
+    const std::vector<std::string> violations = runner.run();
+    const check::CheckCounts counts = runner.checks().counts();
+    std::cout << "seed " << config.seed << ": " << (violations.empty() ? "kept" : "BROKEN")
               << " requests=" << counts.requests << " served=" << counts.served << " refused=" << counts.refused
               << " unanswered=" << counts.unanswered << " runs=" << counts.runs << " grants=" << counts.grants
               << std::endl;
-    for (const std::string& sentence : broken) {
+    for (const std::string& sentence : violations) {
       std::cout << "  " << sentence << "\n";
     }
-    all_kept = all_kept && broken.empty();
+    all_held = all_held && violations.empty();
     ++config.seed;
   }
-  return all_kept ? EXIT_SUCCESS : EXIT_FAILURE;
+  return all_held ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/soak/soak_world.cc
+++ b/soak/soak_world.cc
@@ -17,26 +17,24 @@
 
 constexpr std::size_t kDividedNodes = 3;
 constexpr std::size_t kUndividedNodes = 3;
-/// Each service keeps so many nodes.
 constexpr std::ptrdiff_t kMinNodesPerService = 2;
-/// One fault in so many is the loss of a node for good.
+/// One in this many faults is the permanent loss of a node.
 constexpr std::uint64_t kNodeReplacementOdds = 12;
 constexpr Duration kClientTimeout = milliseconds(2500);
 constexpr Duration kWarmUpDuration = seconds(6);
 constexpr Duration kRecoveryDuration = seconds(14);
 constexpr Duration kRecoveryMeasurementDuration = seconds(4);
-/// Part of the requests that must be served once all is healed.
+/// Of the requests sent while recovery is measured.
 constexpr double kMinServedRatio = 0.97;
 constexpr const char* kSearch = "search";
 constexpr const char* kOrders = "orders";
 
-/// A server that has said that it leaves ends then; all that it was given is over.
+/// A draining server is killed after this time; its accepted requests have ended by then.
 constexpr Duration kServerDrainDuration = milliseconds(4500);
-/// Requests are answered before that, or their time was over: what their route allows, and some more.
+/// Equals the timeout of the routes; a failure after this time counts as a timeout.
 constexpr Duration kRouteTimeout = milliseconds(1500);
-/// Between two events, at most.
 constexpr std::uint64_t kMaxEventIntervalMs = 2500;
-/// Clients that ask again for the same come back sooner.
+/// Shorter, because clients retry a failed request soon.
 constexpr std::uint64_t kMaxFatalRequestIntervalMs = 500;
 constexpr int kOk = 200;
 
@@ -69,9 +67,9 @@
 
 void SoakRunner::startAll() {
   deployment_.startStore();
-  HttpClientConfig control;
-  control.server = deployment_.store();
-  store_control_ = std::make_unique<HttpClient>(loop_, control);
+  HttpClientConfig store_client;
+  store_client.server = deployment_.store();
+  store_control_ = std::make_unique<HttpClient>(loop_, store_client);
   writeConfig();
   for (std::size_t i = 0; i < kDividedNodes + kUndividedNodes; ++i) {
     const bool divided = i < kDividedNodes;
@@ -139,54 +137,54 @@
   client->send({"POST", path, {}, body}, seconds(1), [this, client](const HttpExchange&) { loop_.post([client] {}); });
 }
 
-// Load.
+// Load generation.
 
 void SoakRunner::generateLoad() {
-  if (!loading_) {
+  if (!generating_load_) {
     return;
   }
-  sendOne();
+  sendRandomRequest();
   loop_.runAfter(std::chrono::microseconds(1'000'000 / config_.requests_per_second), [this] { generateLoad(); });
 }
 
-void SoakRunner::sendOne() {
-  HttpClient& client = *clients_[below(clients_.size())];
+void SoakRunner::sendRandomRequest() {
+  HttpClient& client = *clients_[randomBelow(clients_.size())];
   check::ClientRecord record;
   record.id = "r" + std::to_string(++last_request_);
-  const std::uint64_t kind = below(3);
+  const std::uint64_t kind = randomBelow(3);
   record.once_only = kind != 0;
   HttpRequest request;
   request.method = kind == 0 ? "GET" : "POST";
   request.target = kind == 0 ? "/search/x" : (kind == 1 ? "/orders/x" : "/keyed/x");
   request.headers = {{"Host", "h"}, {"X-Request-Id", record.id}, {"X-Request-Deadline", "2000"}};
   if (kind != 1) {
-    request.headers.push_back({"X-Shard-Key", std::to_string(below(65536))});
+    request.headers.push_back({"X-Shard-Key", std::to_string(randomBelow(65536))});
   }
-  const bool counted = counting_;
+  const bool is_measured = measuring_recovery_;
   const auto sent_at = std::chrono::steady_clock::now();
-  client.send(std::move(request), kClientTimeout, [this, record, counted, sent_at](HttpExchange exchange) mutable {
+  client.send(std::move(request), kClientTimeout, [this, record, is_measured, sent_at](HttpExchange exchange) mutable {
     record.timed_out = std::chrono::steady_clock::now() - sent_at >= kRouteTimeout;
     if (exchange.status == HttpExchangeStatus::Complete) {
       record.status = exchange.response.status;
       record.body = std::move(exchange.response.body);
     }
-    if (counted) {
-      ++counted_;
-      counted_served_ += record.status == kOk ? 1 : 0;
+    if (is_measured) {
+      ++recovery_requests_;
+      recovery_served_ += record.status == kOk ? 1 : 0;
     }
     checks_.onClient(record);
   });
 }
 
-// Faults.
+// Fault injection.
 
 void SoakRunner::injectFault() {
-  LocalNode& node = *deployment_.nodes()[below(deployment_.nodes().size())];
-  if (below(kNodeReplacementOdds) == 0) {
+  LocalNode& node = *deployment_.nodes()[randomBelow(deployment_.nodes().size())];
+  if (randomBelow(kNodeReplacementOdds) == 0) {
     replaceNode(node);
     return;
   }
-  switch (below(5)) {
+  switch (randomBelow(5)) {
     case 0:
       injectRouterFault(node);
       return;
@@ -207,8 +205,8 @@
   if (!node.router_process) {
     return;
   }
-  const Duration back_after = milliseconds(200 + below(4000));
-  switch (below(4)) {
+  const Duration fault_duration = milliseconds(200 + randomBelow(4000));
+  switch (randomBelow(4)) {
     case 0:
       logFault(node.name + ": router SIGKILL");
       node.router_process->signal(SIGKILL);
@@ -218,15 +216,15 @@
       node.router_process->signal(SIGTERM);
       return;
     case 2:
-      logFault(node.name + ": router dark for " + std::to_string(back_after.count() / 1000) + " ms");
+      logFault(node.name + ": router SIGKILL, down for " + std::to_string(fault_duration.count() / 1000) + " ms");
       node.router_process->signal(SIGKILL);
       node.restart_router = false;
-      loop_.runAfter(back_after, [&node] { node.restart_router = true; });
+      loop_.runAfter(fault_duration, [&node] { node.restart_router = true; });
       return;
     default:
-      logFault(node.name + ": router SIGSTOP for " + std::to_string(back_after.count() / 1000) + " ms");
+      logFault(node.name + ": router SIGSTOP for " + std::to_string(fault_duration.count() / 1000) + " ms");
       node.router_process->signal(SIGSTOP);
-      loop_.runAfter(back_after, [&node] {
+      loop_.runAfter(fault_duration, [&node] {
         if (node.router_process) {
           node.router_process->signal(SIGCONT);
         }
@@ -236,31 +234,31 @@
 }
 
 void SoakRunner::injectLinkFault(LocalNode& node) {
-  FaultProxy& link = below(2) == 0 ? *node.store_link : *node.peer_link;
+  FaultProxy& link = randomBelow(2) == 0 ? *node.store_link : *node.peer_link;
   const std::string which = &link == node.store_link.get() ? "store" : "peer";
-  const Duration back_after = milliseconds(300 + below(6000));
-  if (below(4) == 0) {
+  const Duration fault_duration = milliseconds(300 + randomBelow(6000));
+  if (randomBelow(4) == 0) {
     logFault(node.name + ": " + which + " link reset");
     link.resetAll();
     return;
   }
-  const auto fault = static_cast<LinkFault>(1 + below(4));
+  const auto fault = static_cast<LinkFault>(1 + randomBelow(4));
   logFault(node.name + ": " + which + " link fault " + std::to_string(static_cast<int>(fault)) + " for " +
-           std::to_string(back_after.count() / 1000) + " ms");
-  link.setFault(fault, milliseconds(20 + below(300)));
-  loop_.runAfter(back_after, [&link] { link.setFault(LinkFault::None); });
+           std::to_string(fault_duration.count() / 1000) + " ms");
+  link.setFault(fault, milliseconds(20 + randomBelow(300)));
+  loop_.runAfter(fault_duration, [&link] { link.setFault(LinkFault::None); });
 }
 
 void SoakRunner::injectStoreFault() {
-  const Duration back_after = milliseconds(500 + below(5000));
+  const Duration fault_duration = milliseconds(500 + randomBelow(5000));
   const std::vector<std::string> kinds = {R"({"mode":"silent"})", R"({"mode":"busy"})",        R"({"mode":"reset"})",
                                           R"({"delay_ms":200})",  R"({"lost":0.4})",           R"({"late":0.4})",
                                           R"({"compact":true})",  R"({"lost":0.2,"late":0.2})"};
-  const std::string& kind = kinds[below(kinds.size())];
-  logFault("store: " + kind + " for " + std::to_string(back_after.count() / 1000) + " ms");
+  const std::string& kind = kinds[randomBelow(kinds.size())];
+  logFault("store: " + kind + " for " + std::to_string(fault_duration.count() / 1000) + " ms");
   post(deployment_.store(), "/faults", kind);
-  loop_.runAfter(back_after, [this] { post(deployment_.store(), "/faults", "{}"); });
-  if (below(3) == 0) {
+  loop_.runAfter(fault_duration, [this] { post(deployment_.store(), "/faults", "{}"); });
+  if (randomBelow(3) == 0) {
     writeConfig();
   }
 }
@@ -269,25 +267,25 @@
   if (!node.server_process) {
     return;
   }
-  const Duration back_after = milliseconds(300 + below(4000));
-  switch (below(4)) {
+  const Duration fault_duration = milliseconds(300 + randomBelow(4000));
+  switch (randomBelow(4)) {
     case 0:
       logFault(node.name + ": server SIGKILL");
       node.server_process->signal(SIGKILL);
       node.restart_server = false;
-      loop_.runAfter(back_after, [&node] { node.restart_server = true; });
+      loop_.runAfter(fault_duration, [&node] { node.restart_server = true; });
       return;
     case 1:
       logFault(node.name + ": server SIGSTOP");
       node.server_process->signal(SIGSTOP);
-      loop_.runAfter(back_after, [&node] {
+      loop_.runAfter(fault_duration, [&node] {
         if (node.server_process) {
           node.server_process->signal(SIGCONT);
         }
       });
       return;
     case 2:
-      logFault(node.name + ": server leaves");
+      logFault(node.name + ": server drains");
       node.server_process->signal(SIGUSR1);
       loop_.runAfter(seconds(3), [&node] {
         if (node.server_process) {
@@ -296,26 +294,26 @@
       });
       return;
     default:
-      logFault(node.name + ": server answers badly");
+      logFault(node.name + ": server response faults");
       post(node.server, "/faults", R"({"lost":0.1,"broken":0.1,"late_orders":0.3,"slow":3})");
-      loop_.runAfter(back_after, [this, &node] { post(node.server, "/faults", "{}"); });
+      loop_.runAfter(fault_duration, [this, &node] { post(node.server, "/faults", "{}"); });
       return;
   }
 }
 
 void SoakRunner::replaceNode(LocalNode& node) {
   const auto& nodes = deployment_.nodes();
-  const auto alike = std::count_if(nodes.begin(), nodes.end(),
-                                   [&node](const auto& other) { return other->divided_by_key == node.divided_by_key; });
-  if (alike <= kMinNodesPerService) {
+  const auto service_nodes = std::count_if(
+      nodes.begin(), nodes.end(), [&node](const auto& other) { return other->divided_by_key == node.divided_by_key; });
+  if (service_nodes <= kMinNodesPerService) {
     return;
   }
-  const std::string lost = node.name;
+  const std::string lost_node = node.name;
   deployment_.replaceNode(node, node.divided_by_key ? kOrders : kSearch, !node.divided_by_key);
-  logFault(lost + ": lost for good, " + node.name + " of " + node.service + " at its addresses");
+  logFault(lost_node + ": lost permanently, " + node.name + " of " + node.service + " takes its addresses");
 }
 
-// Planned work.
+// Maintenance.
 
 void SoakRunner::injectNextEvent() {
   if (config_.fatal_only) {
@@ -328,7 +326,7 @@
 }
 
 void SoakRunner::injectMaintenance() {
-  switch (below(4)) {
+  switch (randomBelow(4)) {
     case 0:
     case 1:
       stopRouters();
@@ -337,11 +335,11 @@
       blockStoreAfterConfigChanges();
       return;
     default: {
-      LocalNode& node = *deployment_.nodes()[below(deployment_.nodes().size())];
+      LocalNode& node = *deployment_.nodes()[randomBelow(deployment_.nodes().size())];
       if (node.server_process) {
-        logFault(node.name + ": server leaves");
+        logFault(node.name + ": server drains");
         node.server_process->signal(SIGUSR1);
-        // Not the next one in its place: that has not said that it leaves.
+        // Spares a successor at the same node, which is not draining.
         loop_.runAfter(kServerDrainDuration, [&node, leaving = node.server_process->pid()] {
           if (node.server_process && node.server_process->pid() == leaving) {
             node.server_process->signal(SIGKILL);
@@ -354,9 +352,9 @@
 }
 
 void SoakRunner::stopRouters() {
-  const std::size_t count = 1 + below(2);
+  const std::size_t count = 1 + randomBelow(2);
   for (std::size_t i = 0; i < count; ++i) {
-    LocalNode& node = *deployment_.nodes()[next_stopped_++ % deployment_.nodes().size()];
+    LocalNode& node = *deployment_.nodes()[next_router_to_stop_++ % deployment_.nodes().size()];
     if (node.router_process) {
       logFault(node.name + ": router SIGTERM");
       node.router_process->signal(SIGTERM);
@@ -368,7 +366,7 @@
   writeConfig();
   loop_.runAfter(milliseconds(200), [this] { writeConfig(); });
   loop_.runAfter(milliseconds(500), [this] {
-    logFault("store: silent for a second");
+    logFault("store: silent for 1000 ms");
     post(deployment_.store(), "/faults", R"({"mode":"silent"})");
   });
   loop_.runAfter(milliseconds(1500), [this] { post(deployment_.store(), "/faults", "{}"); });
@@ -379,12 +377,12 @@
 }
 
 void SoakRunner::restartExitedProcesses() {
-  const std::vector<std::string> ends = deployment_.restartExitedProcesses();
-  broken_.insert(broken_.end(), ends.begin(), ends.end());
+  const std::vector<std::string> failures = deployment_.restartExitedProcesses();
+  violations_.insert(violations_.end(), failures.begin(), failures.end());
 }
 
-void SoakRunner::heal() {
-  logFault("healed");
+void SoakRunner::endFaults() {
+  logFault("all faults ended");
   restores_.stop();
   post(deployment_.store(), "/faults", "{}");
   for (const auto& node : deployment_.nodes()) {
@@ -403,24 +401,25 @@
 }
 
 void SoakRunner::checkRecovery() {
-  counting_ = true;
+  measuring_recovery_ = true;
   deployment_.runFor(kRecoveryMeasurementDuration);
-  counting_ = false;
+  measuring_recovery_ = false;
   deployment_.runFor(kClientTimeout + milliseconds(200));
-  const double served = counted_ == 0 ? 0 : static_cast<double>(counted_served_) / static_cast<double>(counted_);
+  const double served =
+      recovery_requests_ == 0 ? 0 : static_cast<double>(recovery_served_) / static_cast<double>(recovery_requests_);
   if (served < kMinServedRatio) {
-    broken_.push_back("after healing " + std::to_string(counted_served_) + " of " + std::to_string(counted_) +
-                      " requests were served");
+    violations_.push_back("after the end of all faults " + std::to_string(recovery_served_) + " of " +
+                          std::to_string(recovery_requests_) + " requests were served");
   }
 }
 
 std::vector<std::string> SoakRunner::run() {
   startAll();
-  loading_ = true;
+  generating_load_ = true;
   deployment_.runFor(kWarmUpDuration);
   generateLoad();
   if (config_.maintenance_only) {
-    // Each run has it at least once.
+    // Ensures that each run covers this case at least once.
     blockStoreAfterConfigChanges();
   }
   if (config_.restore_store) {
@@ -430,42 +429,42 @@
   while (passed < config_.fault_duration) {
     injectNextEvent();
     const Duration pause =
-        milliseconds(200 + below(config_.fatal_only ? kMaxFatalRequestIntervalMs : kMaxEventIntervalMs));
+        milliseconds(200 + randomBelow(config_.fatal_only ? kMaxFatalRequestIntervalMs : kMaxEventIntervalMs));
     for (Duration waited{}; waited < pause; waited += milliseconds(100)) {
       deployment_.runFor(milliseconds(100));
       restartExitedProcesses();
     }
     passed += pause;
   }
-  heal();
+  endFaults();
   for (Duration waited{}; waited < kRecoveryDuration; waited += milliseconds(100)) {
     deployment_.runFor(milliseconds(100));
     restartExitedProcesses();
   }
   checkRecovery();
-  loading_ = false;
+  generating_load_ = false;
   deployment_.runFor(kClientTimeout);
   for (const std::string& log : deployment_.serverLogs()) {
     checks_.readLog(log);
   }
-  std::vector<std::string> found = checks_.violations();
-  found.insert(found.end(), broken_.begin(), broken_.end());
+  std::vector<std::string> violations = checks_.violations();
+  violations.insert(violations.end(), violations_.begin(), violations_.end());
   if (config_.restore_store && restores_.count() == 0) {
-    found.push_back("the store never came back from a copy");
+    violations.push_back("the store was never restored from a backup");
   }
   if (config_.fatal_only) {
     const std::vector<std::string> fatal = fatal_.violations(checks_);
-    found.insert(found.end(), fatal.begin(), fatal.end());
+    violations.insert(violations.end(), fatal.begin(), fatal.end());
   }
-  found.insert(found.end(), probe_.violations().begin(), probe_.violations().end());
+  violations.insert(violations.end(), probe_.violations().begin(), probe_.violations().end());
   if (config_.maintenance_only) {
-    const std::vector<std::string> cut = checks_.cutRequests();
-    found.insert(found.end(), cut.begin(), cut.end());
+    const std::vector<std::string> interrupted = checks_.cutRequests();
+    violations.insert(violations.end(), interrupted.begin(), interrupted.end());
     if (probe_.activeCount() == 0) {
-      found.push_back("no changed configuration was seen in force");
+      violations.push_back("no changed configuration was seen active");
     }
   }
-  return found;
+  return violations;
 }
 
 }  // namespace shedlever::soak
--- a/soak/soak_world.h
+++ b/soak/soak_world.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Random faults on a deployment of real processes under load, and what must hold meanwhile.
+/// Injects random faults into a deployment of real processes under load and checks its guarantees.
 
 #include <memory>
 #include <random>
@@ -19,22 +19,22 @@
 
 struct SoakConfig {
   std::uint64_t seed = 1;
-  /// Faults are made for so long; then everything is healed and must serve again.
+  /// Duration of fault injection; afterwards all faults end and the deployment must recover.
   Duration fault_duration = std::chrono::seconds(60);
-  /// Where the programs are.
+  /// Folder of the programs.
   std::string binary_folder;
-  /// For settings and logs.
+  /// Existing folder for settings files and logs.
   std::string run_folder;
   int requests_per_second = 120;
-  /// Servers take their keys in the acknowledgements of their heartbeats.
+  /// Whether servers receive their keys in the acknowledgements of their heartbeats.
   bool keys_by_heartbeat = false;
-  /// Only what operators plan, and a store that is silent for a second now and then: routers that stop in turn, servers
-  /// that leave, configurations that change, all overlapping. More must hold then: no request that a server has begun
-  /// is cut, and each configuration is in force everywhere soon.
+  /// Injects only maintenance by operators, overlapping in time (router stops, server drains and configuration
+  /// changes), and short outages of the store. Also checks that no request is interrupted after a server has begun it,
+  /// and that every node activates each probed configuration in time.
   bool maintenance_only = false;
-  /// Only requests under which servers end, brought at machines of four services.
+  /// Sends only requests that crash servers, through nodes of four services.
   bool fatal_only = false;
-  /// Beside all else the store goes away now and then and comes back from a copy of an earlier state.
+  /// In addition, repeatedly interrupts the store and restores it from a backup.
   bool restore_store = false;
 };
 
@@ -43,64 +43,65 @@
   SoakRunner(EventLoop& loop, SoakConfig config);
   ~SoakRunner();
 
-  /// Starts all, makes faults, heals them, checks.
-  /// @return what was broken.
+  /// Starts the deployment, injects faults, ends them and checks the results.
+  /// @return one sentence for each violation.
   std::vector<std::string> run();
 
   const check::RunChecks& checks() const { return checks_; }
 
  private:
   void startAll();
-  /// @return the service of a node whose service is not divided by key.
+  /// @return the service, not divided by key, of the node with this index.
   std::string undividedService(std::size_t node) const;
-  /// Writes the next version.
+  /// Writes the next version of the configuration.
   void writeConfig();
-  /// Writes the newest version again, as the store may have lost it.
+  /// Writes the newest version again, because a restored store may lack it.
   void writeConfigAgain();
   void sendConfig(const std::string& method, const std::string& path);
   StoreRestores::Callbacks restoreCallbacks();
   void post(const Endpoint& to, const std::string& path, const std::string& body);
   void generateLoad();
-  void sendOne();
+  void sendRandomRequest();
   void injectFault();
   void injectRouterFault(LocalNode& node);
   void injectLinkFault(LocalNode& node);
   void injectStoreFault();
   void injectServerFault(LocalNode& node);
-  /// The node is lost for good, and its addresses go to a node of the other service.
+  /// Loses the node for good and gives its addresses to a node of the other service.
   void replaceNode(LocalNode& node);
   void injectMaintenance();
-  /// The next event of the kind that the run is about.
+  /// Injects the next event of the kind that the configuration selects.
   void injectNextEvent();
   void stopRouters();
-  /// Two changes close together, then a silent store: the watches that follow are swallowed.
+  /// Makes two configuration changes in quick succession and blocks the store, which leaves the watches that follow
+  /// without a response; then writes a third version and probes for it.
   void blockStoreAfterConfigChanges();
   void restartExitedProcesses();
-  void heal();
+  void endFaults();
   void checkRecovery();
   void logFault(const std::string& what);
-  std::uint64_t below(std::uint64_t bound) { return random_() % bound; }
+  std::uint64_t randomBelow(std::uint64_t bound) { return random_() % bound; }
 
   EventLoop& loop_;
   SoakConfig config_;
   std::mt19937_64 random_;
   check::RunChecks checks_;
-  std::vector<std::string> broken_;
+  std::vector<std::string> violations_;
   LocalDeployment deployment_;
-  /// One to each node.
+  /// One client per node.
   std::vector<std::unique_ptr<HttpClient>> clients_;
   FatalRequests fatal_{clients_};
   ConfigProbe probe_{loop_, clients_};
   StoreRestores restores_;
   std::unique_ptr<HttpClient> store_control_;
   std::uint64_t config_version_ = 0;
-  std::size_t next_stopped_ = 0;
+  std::size_t next_router_to_stop_ = 0;
   std::uint64_t last_request_ = 0;
-  bool loading_ = false;
-  /// While recovery is checked: requests sent and served.
-  bool counting_ = false;
-  std::size_t counted_ = 0;
-  std::size_t counted_served_ = 0;
+  bool generating_load_ = false;
+  /// Whether requests count towards the recovery check.
+  bool measuring_recovery_ = false;
+  std::size_t recovery_requests_ = 0;
+  std::size_t recovery_served_ = 0;
 };
 
 }  // namespace shedlever::soak
--- a/soak/store_restores.cc
+++ b/soak/store_restores.cc
@@ -6,19 +6,16 @@
 
 namespace {
 
-/// Ages of copies.
 constexpr std::uint64_t kMinBackupAgeMs = 1000;
 constexpr std::uint64_t kMaxBackupAgeMs = 6000;
-/// How long the store is away.
 constexpr std::uint64_t kMinOutageMs = 200;
 constexpr std::uint64_t kMaxOutageMs = 1200;
-/// Until operators write again what the copy lacks.
+/// Delay until operators rewrite the configuration that the backup may lack.
 constexpr std::uint64_t kMinRewriteDelayMs = 50;
 constexpr std::uint64_t kMaxRewriteDelayMs = 600;
-/// Until the next copy is kept.
 constexpr std::uint64_t kMinBackupIntervalMs = 1000;
 constexpr std::uint64_t kMaxBackupIntervalMs = 5000;
-/// One copy in so many is gone back to twice.
+/// One in this many backups is restored twice.
 constexpr std::uint64_t kRepeatedRestoreOdds = 4;
 
 }  // namespace
@@ -26,8 +23,8 @@
 StoreRestores::StoreRestores(EventLoop& loop, std::uint64_t seed, Callbacks callbacks)
     : loop_(loop), random_(seed), callbacks_(std::move(callbacks)) {}
 
-void StoreRestores::runAfterRandomDelay(std::uint64_t least_ms, std::uint64_t most_ms, std::function<void()> step) {
-  const std::chrono::milliseconds delay(least_ms + random_() % (most_ms - least_ms));
+void StoreRestores::runAfterRandomDelay(std::uint64_t min_ms, std::uint64_t max_ms, std::function<void()> step) {
+  const std::chrono::milliseconds delay(min_ms + random_() % (max_ms - min_ms));
   loop_.runAfter(delay, [alive = alive_, step = std::move(step)] {
     if (*alive) {
       step();
@@ -47,17 +44,17 @@
   if (stopped_) {
     return;
   }
-  callbacks_.log_fault("store: away");
+  callbacks_.log_fault("store: outage");
   callbacks_.set_faults(R"({"mode":"reset"})");
   runAfterRandomDelay(kMinOutageMs, kMaxOutageMs, [this] { restoreBackup(random_() % kRepeatedRestoreOdds == 0); });
 }
 
-void StoreRestores::restoreBackup(bool once_more) {
-  callbacks_.log_fault("store: back from a copy");
+void StoreRestores::restoreBackup(bool restore_twice) {
+  callbacks_.log_fault("store: restored from backup");
   callbacks_.set_faults(R"({"restore_copy":true})");
   callbacks_.set_faults("{}");
   ++count_;
-  if (once_more) {
+  if (restore_twice) {
     runAfterRandomDelay(kMinRewriteDelayMs, kMaxRewriteDelayMs, [this] { restoreBackup(false); });
     return;
   }
--- a/soak/store_restores.h
+++ b/soak/store_restores.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A store that is away for a moment, again and again, and comes back from a copy of an earlier state.
+/// Repeatedly interrupts the store and restores it from a backup of an earlier state.
 
 #include <cstdint>
 #include <functional>
@@ -13,15 +13,15 @@
 
 namespace shedlever::soak {
 
-/// Copies are one to six seconds old when the store goes back to them; some are gone back to twice within a second.
+/// Backups are one to six seconds old when they are restored; some are restored twice within a second.
 class StoreRestores {
  public:
   struct Callbacks {
-    /// Sets the store's faults.
+    /// Sends the body to the fault interface of the store.
     std::function<void(const std::string& body)> set_faults;
-    /// Operators write the newest configuration again.
+    /// Writes the newest configuration again, as operators do after a restore.
     std::function<void()> rewrite_config;
-    /// For the list of faults.
+    /// Appends a line to the log of injected faults.
     std::function<void(const std::string& what)> log_fault;
   };
 
@@ -31,16 +31,16 @@
   StoreRestores& operator=(const StoreRestores&) = delete;
 
   void start() { saveBackup(); }
-  /// Nothing is begun any more.
+  /// Starts no further backups or outages; an outage in progress still ends with a restore.
   void stop() { stopped_ = true; }
-  /// @return how often the store has come back.
+  /// @return the number of restores.
   std::size_t count() const { return count_; }
 
  private:
   void saveBackup();
   void startOutage();
-  void restoreBackup(bool once_more);
-  void runAfterRandomDelay(std::uint64_t least_ms, std::uint64_t most_ms, std::function<void()> step);
+  void restoreBackup(bool restore_twice);
+  void runAfterRandomDelay(std::uint64_t min_ms, std::uint64_t max_ms, std::function<void()> step);
 
   EventLoop& loop_;
   std::mt19937_64 random_;
--- a/standins/fault_fields.h
+++ b/standins/fault_fields.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Reads the body of a /control/faults call.
+/// Parses the body of a /control/faults call.
 
 #include <cstdint>
 #include <nlohmann/json.hpp>
@@ -13,17 +13,18 @@
 
 namespace shedlever::standins {
 
-/// Reads the fields that are given; collects findings for wrong types and unknown names.
+/// Reads the fields that are present and collects findings for wrong types and unknown names.
 class FaultFields {
  public:
-  /// @param json the body; outlives this object.
+  /// @param json the body; must outlive this object.
   explicit FaultFields(const nlohmann::json& json);
 
+  /// The read functions leave `value` unchanged if the field is absent or has a wrong type.
   void readFlag(const std::string& name, bool& value);
   void readCount(const std::string& name, std::uint32_t& value);
   void readMilliseconds(const std::string& name, Duration& value);
 
-  /// @return Findings when something was wrong or a name is unknown.
+  /// @return Findings if the body is not an object, a type is wrong or a field is unknown.
   leaf::result<void> finish();
 
  private:
--- a/standins/json_request.h
+++ b/standins/json_request.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Answers of the stand-ins to bodies that they can't read.
+/// Handling of JSON request bodies, and responses to invalid ones.
 
 #include <nlohmann/json.hpp>
 
@@ -10,19 +10,20 @@
 
 namespace shedlever::standins {
 
-/// Answers 400 with the findings.
+/// Responds with 400 and the findings.
 inline void replyFindings(StandinResponder& responder, const Findings& findings) {
   responder.replyJson(400, nlohmann::json{{"message", toString(findings)}}.dump());
 }
 
-/// Runs `use` on what `read` makes of the body and answers 200; answers 400 with the findings if it can't.
-/// @param read from JSON to leaf::result.
-template <class Read, class Use>
-void handleJsonBody(const StandinRequest& request, StandinResponder responder, Read read, Use use) {
+/// Parses the body, passes the value to `use` and responds with 200. Responds with 400 and the findings if parsing
+/// fails with Findings, and with 500 on any other error.
+/// @param parse from JSON to leaf::result.
+template <class Parse, class Use>
+void handleJsonBody(const StandinRequest& request, StandinResponder responder, Parse parse, Use use) {
   const nlohmann::json body = nlohmann::json::parse(request.http.body, nullptr, false);
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
-        BOOST_LEAF_AUTO(value, read(body));
+        BOOST_LEAF_AUTO(value, parse(body));
         use(value);
         responder.replyJson(200, "{}");
         return {};
--- a/standins/router/key_server.cc
+++ b/standins/router/key_server.cc
@@ -22,10 +22,10 @@
 constexpr std::size_t kMaxQueuedRequests = 64;
 constexpr std::uint64_t kMicrosecondsPerMillisecond = 1000;
 constexpr Duration kHeartbeatInterval = std::chrono::milliseconds(1000);
-/// Between reports while keys are let go of.
+/// Used while released keys still have running requests, so that their release is reported soon.
 constexpr Duration kReleaseHeartbeatInterval = std::chrono::milliseconds(100);
 constexpr Duration kHeartbeatTimeout = std::chrono::milliseconds(800);
-/// Its clock runs slow: a grant lasts this much longer than it says.
+/// Simulates a slow clock: a grant lasts longer than its stated duration by this factor.
 constexpr double kGrantStretchFactor = 1.02;
 
 }  // namespace
@@ -39,7 +39,7 @@
                     : config.id),
       started_ms_(wallClockMicroseconds() / kMicrosecondsPerMillisecond),
       log_(config.log_file, std::ios::app),
-      holds_(kKeyCount),
+      grants_(kKeyCount),
       assigned_(clock_, [this](const KeyRange& keys, TimePoint) { return isRunningOn(keys.first, keys.last); }) {}
 
 leaf::result<std::unique_ptr<KeyServer>> KeyServer::start(EventLoop& loop, const KeyServerConfig& config) {
@@ -56,10 +56,10 @@
   return server;
 }
 
-void KeyServer::startHeartbeats(const Endpoint& reports) {
-  HttpClientConfig reporter;
-  reporter.server = reports;
-  reporter_ = std::make_unique<HttpClient>(loop_, reporter);
+void KeyServer::startHeartbeats(const Endpoint& endpoint) {
+  HttpClientConfig client;
+  client.server = endpoint;
+  heartbeat_client_ = std::make_unique<HttpClient>(loop_, client);
   sendHeartbeat();
 }
 
@@ -68,10 +68,10 @@
   on_acknowledged_ = std::move(acknowledged);
 }
 
-bool KeyServer::happens(double chance) { return std::uniform_real_distribution<>(0, 1)(random_) < chance; }
+bool KeyServer::happens(double probability) { return std::uniform_real_distribution<>(0, 1)(random_) < probability; }
 
 void KeyServer::log(const std::string& line) {
-  // A checker tells lives apart, also of one id.
+  // The start time lets the checker distinguish instances that share an id.
   log_ << clock_.now().time_since_epoch().count() << " " << instance_ << "/" << started_ms_ << " " << line << "\n"
        << std::flush;
 }
@@ -97,18 +97,18 @@
       body["released"].push_back({range.first, range.last, range.handover});
     }
   }
-  reporter_->send({"POST", "/instances/" + instance_ + "/heartbeat", {}, body.dump()}, kHeartbeatTimeout,
-                  [this, leaves = draining_, keys, sent = clock_.now()](const HttpExchange& exchange) {
-                    if (leaves && exchange.status == HttpExchangeStatus::Complete && on_acknowledged_) {
-                      std::exchange(on_acknowledged_, {})();
-                    }
-                    onAcknowledged(exchange, keys, sent);
-                  });
+  heartbeat_client_->send({"POST", "/instances/" + instance_ + "/heartbeat", {}, body.dump()}, kHeartbeatTimeout,
+                          [this, is_draining = draining_, keys, sent = clock_.now()](const HttpExchange& exchange) {
+                            if (is_draining && exchange.status == HttpExchangeStatus::Complete && on_acknowledged_) {
+                              std::exchange(on_acknowledged_, {})();
+                            }
+                            onAcknowledged(exchange, keys, sent);
+                          });
   scheduleHeartbeat(assigned_.isLettingGo() ? kReleaseHeartbeatInterval : kHeartbeatInterval);
 }
 
-void KeyServer::scheduleHeartbeat(Duration pause) {
-  loop_.runAfter(pause, [this, alive = alive_, sequence = sequence_] {
+void KeyServer::scheduleHeartbeat(Duration delay) {
+  loop_.runAfter(delay, [this, alive = alive_, sequence = sequence_] {
     if (*alive && sequence == sequence_) {
       sendHeartbeat();
     }
@@ -140,7 +140,7 @@
   if (config_.keys_by_heartbeat) {
     return assigned_.tokenOf(static_cast<Key>(key));
   }
-  return holds_[key].until > clock_.now() ? holds_[key].token : 0;
+  return grants_[key].expires_at > clock_.now() ? grants_[key].token : 0;
 }
 
 bool KeyServer::isRunningOn(int first, int last) const {
@@ -165,15 +165,15 @@
 }
 
 void KeyServer::handleCommand(const StandinRequest& request, const StandinResponder& responder) {
-  const bool grants = request.path == "/grant";
-  if (happens(faults_.late_orders)) {
+  const bool is_grant = request.path == "/grant";
+  if (happens(faults_.late_commands)) {
     withheld_.push_back(responder);
     const std::chrono::milliseconds delay(2000 + random_() % 6000);
-    loop_.runAfter(delay, [this, body = request.http.body, grants, responder, alive = alive_] {
+    loop_.runAfter(delay, [this, body = request.http.body, is_grant, responder, alive = alive_] {
       if (!*alive) {
         return;
       }
-      if (grants) {
+      if (is_grant) {
         grant(body, true);
       } else {
         release(body, responder);
@@ -182,7 +182,7 @@
     return;
   }
   StandinResponder answer = responder;
-  if (!grants) {
+  if (!is_grant) {
     release(request.http.body, responder);
     return;
   }
@@ -190,19 +190,19 @@
 }
 
 bool KeyServer::grant(const std::string& body, bool late) {
-  const json order = json::parse(body);
-  const int first = order.at("rangeStart");
-  const int last = order.at("targetVersion");
-  const std::uint64_t token = order.at("fence");
+  const json command = json::parse(body);
+  const int first = command.at("rangeStart");
+  const int last = command.at("targetVersion");
+  const std::uint64_t token = command.at("fence");
   for (int key = first; key <= last; ++key) {
-    if (holds_[key].token > token) {
+    if (grants_[key].token > token) {
       return false;
     }
   }
-  const std::chrono::milliseconds hold(std::stoi(order.at("hold_time").get<std::string>()));
-  const TimePoint until = clock_.now() + std::chrono::duration_cast<Duration>(hold * kGrantStretchFactor);
+  const std::chrono::milliseconds hold(std::stoi(command.at("hold_time").get<std::string>()));
+  const TimePoint expires_at = clock_.now() + std::chrono::duration_cast<Duration>(hold * kGrantStretchFactor);
   for (int key = first; key <= last; ++key) {
-    holds_[key] = {token, std::max(holds_[key].until, until)};
+    grants_[key] = {token, std::max(grants_[key].expires_at, expires_at)};
   }
   log((late ? "late-take " : "take ") + std::to_string(first) + " " + std::to_string(last) + " " +
       std::to_string(token));
@@ -210,20 +210,20 @@
 }
 
 void KeyServer::release(const std::string& body, const StandinResponder& responder) {
-  const json order = json::parse(body);
-  const int first = order.at("rangeStart");
-  const int last = order.at("targetVersion");
-  const std::uint64_t token = order.at("fence");
+  const json command = json::parse(body);
+  const int first = command.at("rangeStart");
+  const int last = command.at("targetVersion");
+  const std::uint64_t token = command.at("fence");
   for (int key = first; key <= last; ++key) {
-    holds_[key].token = std::max(holds_[key].token, token);
-    holds_[key].until = {};
+    grants_[key].token = std::max(grants_[key].token, token);
+    grants_[key].expires_at = {};
   }
   log("release " + std::to_string(first) + " " + std::to_string(last) + " " + std::to_string(token));
   releases_.push_back({first, last, responder});
-  answerReleases();
+  respondToReleases();
 }
 
-void KeyServer::answerReleases() {
+void KeyServer::respondToReleases() {
   std::erase_if(releases_, [this](const Release& release) {
     if (isRunningOn(release.first, release.last)) {
       return false;
@@ -234,92 +234,95 @@
   });
 }
 
-void KeyServer::answer(const PendingRequest& work, int status, bool not_run) {
-  HttpResponse response{status, {{"X-Request-Id", work.id}, {"X-Instance-Id", instance_}}, {}};
-  if (not_run) {
+void KeyServer::respond(const PendingRequest& pending, int status, bool not_executed) {
+  HttpResponse response{status, {{"X-Request-Id", pending.id}, {"X-Instance-Id", instance_}}, {}};
+  if (not_executed) {
     response.headers.push_back({"X-Not-Executed", "1"});
   } else {
-    response.headers.push_back({"X-Response-Seal", "seal-" + work.id});
-    response.body = "answer to " + work.id;
-    const auto bytes = work.request.query.find("bytes");
-    if (bytes != work.request.query.end()) {
+    response.headers.push_back({"X-Response-Seal", "seal-" + pending.id});
+    response.body = "answer to " + pending.id;
+    const auto bytes = pending.request.query.find("bytes");
+    if (bytes != pending.request.query.end()) {
       response.body.resize(std::max<std::size_t>(response.body.size(), std::stoul(bytes->second)), '.');
     }
   }
-  StandinResponder responder = work.responder;
+  StandinResponder responder = pending.responder;
   responder.reply(response);
 }
 
 void KeyServer::handleClientRequest(const StandinRequest& request, const StandinResponder& responder) {
-  auto work = std::make_shared<PendingRequest>(PendingRequest{request, responder, request.header("X-Request-Id"), -1});
+  auto pending =
+      std::make_shared<PendingRequest>(PendingRequest{request, responder, request.header("X-Request-Id"), -1});
   const std::string key = request.header("X-Shard-Key");
   if (config_.divided_by_key && !key.empty()) {
-    work->key = std::stoi(key);
+    pending->key = std::stoi(key);
   }
-  if (work->id.empty() || (config_.divided_by_key && work->key < 0)) {
-    answer(*work, kBadRequest, true);
-  } else if (request.header("X-Expect-Instance") != instance_ || (work->key >= 0 && tokenFor(work->key) == 0)) {
-    answer(*work, kMisdirected, true);
-  } else if (running_ < config_.slots) {
-    startRequest(work);
-  } else if (waiting_.size() < kMaxQueuedRequests) {
-    waiting_.push_back(work);
+  if (pending->id.empty() || (config_.divided_by_key && pending->key < 0)) {
+    respond(*pending, kBadRequest, true);
+  } else if (request.header("X-Expect-Instance") != instance_ || (pending->key >= 0 && tokenFor(pending->key) == 0)) {
+    respond(*pending, kMisdirected, true);
+  } else if (running_requests_ < config_.slots) {
+    startRequest(pending);
+  } else if (queue_.size() < kMaxQueuedRequests) {
+    queue_.push_back(pending);
   } else {
-    answer(*work, kUnavailable, true);
+    respond(*pending, kUnavailable, true);
   }
 }
 
-void KeyServer::startRequest(const std::shared_ptr<PendingRequest>& work) {
-  ++running_;
-  if (work->key >= 0) {
-    ++running_keys_[work->key];
+void KeyServer::startRequest(const std::shared_ptr<PendingRequest>& pending) {
+  ++running_requests_;
+  if (pending->key >= 0) {
+    ++running_keys_[pending->key];
   }
-  const std::uint64_t token = work->key >= 0 ? tokenFor(work->key) : 0;
-  log("begin " + work->id + " " + std::to_string(work->key) + " " + std::to_string(token));
-  const auto time = std::chrono::duration_cast<Duration>(config_.request_duration * faults_.slow);
-  ++begun_;
-  if (isFatal(*work)) {
+  const std::uint64_t token = pending->key >= 0 ? tokenFor(pending->key) : 0;
+  log("begin " + pending->id + " " + std::to_string(pending->key) + " " + std::to_string(token));
+  const auto duration = std::chrono::duration_cast<Duration>(config_.request_duration * faults_.slow);
+  ++started_requests_;
+  if (isFatal(*pending)) {
     config_.on_fatal_begin();
   }
-  loop_.runAfter(time, [this, work, alive = alive_] {
+  loop_.runAfter(duration, [this, pending, alive = alive_] {
     if (*alive) {
-      finishRequest(work);
+      finishRequest(pending);
     }
   });
 }
 
-bool KeyServer::isFatal(const PendingRequest& work) const {
-  return !config_.fatal_path.empty() && work.request.path == config_.fatal_path;
+bool KeyServer::isFatal(const PendingRequest& pending) const {
+  return !config_.fatal_path.empty() && pending.request.path == config_.fatal_path;
 }
 
-void KeyServer::finishRequest(const std::shared_ptr<PendingRequest>& work) {
-  if (isFatal(*work)) {
+void KeyServer::finishRequest(const std::shared_ptr<PendingRequest>& pending) {
+  if (isFatal(*pending)) {
     config_.on_fatal_end();
     return;
   }
-  --running_;
-  if (work->key >= 0 && --running_keys_[work->key] == 0) {
-    running_keys_.erase(work->key);
-    answerReleases();
+  --running_requests_;
+  if (pending->key >= 0 && --running_keys_[pending->key] == 0) {
+    running_keys_.erase(pending->key);
+    respondToReleases();
   }
-  const bool lapsed = work->key >= 0 && !config_.keys_by_heartbeat && holds_[work->key].until <= clock_.now() &&
-                      holds_[work->key].until != TimePoint{};
-  if (lapsed) {
-    answer(*work, kServerError, false);
+  const bool is_expired = pending->key >= 0 && !config_.keys_by_heartbeat &&
+                          grants_[pending->key].expires_at <= clock_.now() &&
+                          grants_[pending->key].expires_at != TimePoint{};
+  if (is_expired) {
+    respond(*pending, kServerError, false);
   } else if (happens(faults_.lost)) {
-    StandinResponder responder = work->responder;
+    StandinResponder responder = pending->responder;
     responder.drop();
   } else if (happens(faults_.broken)) {
-    StandinResponder responder = work->responder;
-    responder.replyTruncated({kOk, {{"X-Request-Id", work->id}, {"X-Response-Seal", "s"}}, "answer to " + work->id});
+    StandinResponder responder = pending->responder;
+    responder.replyTruncated(
+        {kOk, {{"X-Request-Id", pending->id}, {"X-Response-Seal", "s"}}, "answer to " + pending->id});
   } else {
-    answer(*work, kOk, false);
+    respond(*pending, kOk, false);
   }
-  if (!waiting_.empty()) {
-    const std::shared_ptr<PendingRequest> next = waiting_.front();
-    waiting_.pop_front();
+  if (!queue_.empty()) {
+    const std::shared_ptr<PendingRequest> next = queue_.front();
+    queue_.pop_front();
     if (next->key >= 0 && tokenFor(next->key) == 0) {
-      answer(*next, kMisdirected, true);
+      respond(*next, kMisdirected, true);
     } else {
       startRequest(next);
     }
--- a/standins/router/key_server.h
+++ b/standins/router/key_server.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Stand-in for a server on the platform: slots, grants of keys, reports of itself, and faults. Writes each run and
-/// each grant to a log that a checker reads.
+/// Stand-in for a server on the platform, with request slots, key grants, heartbeats and faults. Logs each request that
+/// it begins and each grant for a checker.
 
 #include <cstdint>
 #include <deque>
@@ -26,27 +26,27 @@
   Endpoint listen;
   std::string service;
   bool divided_by_key = false;
-  /// Takes its keys in the acknowledgements of its heartbeats, and not by orders.
+  /// Whether the server receives its keys in the acknowledgements of its heartbeats instead of by commands.
   bool keys_by_heartbeat = false;
   std::uint32_t slots = 8;
   Duration request_duration = std::chrono::milliseconds(20);
-  /// Where it reports itself.
+  /// Receives the heartbeats; with port 0, none are sent until `startHeartbeats`.
   Endpoint heartbeat_endpoint;
   std::string log_file;
   std::uint64_t seed = 1;
-  /// Its id; empty: one that no other life has.
+  /// Server id; if empty, an id unique to the instance is generated.
   std::string id;
-  /// Path of a request under which it ends, once it has worked on it; empty for none.
+  /// Path of requests that crash the server once executed; empty for none.
   std::string fatal_path;
-  /// Such a request begins.
+  /// Runs when a fatal request begins.
   std::function<void()> on_fatal_begin;
-  /// It has come to its end: whoever owns the server is to destroy it, from the loop.
+  /// Runs when a fatal request has been executed. The owner must end or destroy the server, but not within this call.
   std::function<void()> on_fatal_end;
 };
 
-/// `POST /faults` sets chances: `lost` (run, not answered), `broken` (answer cut), `late_orders` (orders carried out
-/// seconds later without an answer), and `slow`, a factor of the work's time. A request with `bytes=N` in its query
-/// gets an answer of that size.
+/// `POST /faults` sets probabilities: `lost` (executed, but the connection is closed without a response), `broken`
+/// (response truncated), `late_orders` (commands executed seconds later; a late grant is not answered), and `slow`, a
+/// factor of the request duration. A request with `bytes=N` in its query gets a response body of at least that size.
 class KeyServer {
  public:
   /// @return the server, or a NetworkError.
@@ -55,26 +55,26 @@
   KeyServer(const KeyServer&) = delete;
   KeyServer& operator=(const KeyServer&) = delete;
 
-  /// Where it listens, with the port in use.
+  /// The listening endpoint with the actual port.
   const Endpoint& endpoint() const { return http_->endpoint(); }
   const std::string& instance() const { return instance_; }
 
-  /// Begins to report itself to its router; a server that is started with a place to report to has begun.
-  void startHeartbeats(const Endpoint& reports);
+  /// Starts sending heartbeats to the router. `start` does this if the configuration has a heartbeat endpoint.
+  void startHeartbeats(const Endpoint& endpoint);
 
-  /// Reports that it leaves; it serves on for a while.
-  /// @param acknowledged runs once the report was answered.
+  /// Reports the state `draining` from the next heartbeat on; the server continues to serve.
+  /// @param acknowledged runs once such a heartbeat has received a response.
   void startDraining(std::function<void()> acknowledged);
 
-  /// @return how many requests it has begun.
-  std::size_t startedRequests() const { return begun_; }
-  /// @return how many run now.
-  std::uint32_t runningRequests() const { return running_; }
+  /// @return the number of requests begun since the start.
+  std::size_t startedRequests() const { return started_requests_; }
+  /// @return the number of requests being executed.
+  std::uint32_t runningRequests() const { return running_requests_; }
 
  private:
   struct KeyGrant {
     std::uint64_t token = 0;
-    TimePoint until{};
+    TimePoint expires_at{};
   };
   struct PendingRequest {
     StandinRequest request;
@@ -85,59 +85,63 @@
   struct Faults {
     double lost = 0;
     double broken = 0;
-    double late_orders = 0;
+    double late_commands = 0;
     double slow = 1;
   };
 
   KeyServer(EventLoop& loop, const KeyServerConfig& config);
   void handle(const StandinRequest& request, const StandinResponder& responder);
   void handleCommand(const StandinRequest& request, const StandinResponder& responder);
+  /// @return false if a higher token was seen for one of the keys.
   bool grant(const std::string& body, bool late);
   void release(const std::string& body, const StandinResponder& responder);
   void handleClientRequest(const StandinRequest& request, const StandinResponder& responder);
-  void startRequest(const std::shared_ptr<PendingRequest>& work);
-  void finishRequest(const std::shared_ptr<PendingRequest>& work);
-  bool isFatal(const PendingRequest& work) const;
-  void answer(const PendingRequest& work, int status, bool not_run);
-  void answerReleases();
-  /// Sends a heartbeat, and plans the next one.
+  void startRequest(const std::shared_ptr<PendingRequest>& pending);
+  void finishRequest(const std::shared_ptr<PendingRequest>& pending);
+  bool isFatal(const PendingRequest& pending) const;
+  void respond(const PendingRequest& pending, int status, bool not_executed);
+  void respondToReleases();
+  /// Sends a heartbeat and schedules the next one.
   void sendHeartbeat();
-  void scheduleHeartbeat(Duration pause);
+  void scheduleHeartbeat(Duration delay);
   void onAcknowledged(const HttpExchange& exchange, const KeyReport& reported, TimePoint sent);
-  /// @return whether requests for the key may begin now, and under which token; 0: they may not.
+  /// @return the token under which requests for the key may begin now; 0 if they may not.
   std::uint64_t tokenFor(int key) const;
+  /// @return whether a request for a key in the range is being executed.
   bool isRunningOn(int first, int last) const;
   void log(const std::string& line);
-  bool happens(double chance);
+  bool happens(double probability);
 
   EventLoop& loop_;
   KeyServerConfig config_;
   BootClockImpl clock_;
   std::mt19937_64 random_;
   std::string instance_;
-  /// Milliseconds since 1970.
+  /// Wall-clock time of the start, in milliseconds since 1970.
   std::uint64_t started_ms_;
   std::ofstream log_;
   Faults faults_;
-  std::vector<KeyGrant> holds_;
+  std::vector<KeyGrant> grants_;
   sim::AssignedKeys assigned_;
-  std::uint32_t running_ = 0;
-  std::deque<std::shared_ptr<PendingRequest>> waiting_;
-  /// How many run on each key.
+  std::uint32_t running_requests_ = 0;
+  std::deque<std::shared_ptr<PendingRequest>> queue_;
+  /// Number of requests being executed for each key.
   std::map<int, int> running_keys_;
   struct Release {
     int first = 0;
     int last = 0;
     StandinResponder responder;
   };
+  /// Releases that wait for running requests on their keys.
   std::vector<Release> releases_;
+  /// Keeps the connections of unanswered commands open.
   std::vector<StandinResponder> withheld_;
   bool draining_ = false;
   std::function<void()> on_acknowledged_;
-  std::size_t begun_ = 0;
+  std::size_t started_requests_ = 0;
   std::uint64_t sequence_ = 0;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
-  std::unique_ptr<HttpClient> reporter_;
+  std::unique_ptr<HttpClient> heartbeat_client_;
   std::unique_ptr<StandinHttpServer> http_;
 };
 
--- a/standins/router/metadata_server.cc
+++ b/standins/router/metadata_server.cc
@@ -18,19 +18,19 @@
 constexpr const char* kObjects = "/objects/";
 constexpr const char* kEpochHeader = "Store-Era";
 
-std::uint64_t numberOr(const std::map<std::string, std::string>& query, const std::string& name) {
+std::uint64_t numberParameter(const std::map<std::string, std::string>& query, const std::string& name) {
   const auto found = query.find(name);
   return found == query.end() ? 0 : std::strtoull(found->second.c_str(), nullptr, 10);
 }
 
-StoreMode modeFrom(const std::string& word) {
-  if (word == "silent") {
+StoreMode parseMode(const std::string& mode) {
+  if (mode == "silent") {
     return StoreMode::Unresponsive;
   }
-  if (word == "busy") {
+  if (mode == "busy") {
     return StoreMode::Unavailable;
   }
-  return word == "reset" ? StoreMode::Reset : StoreMode::Up;
+  return mode == "reset" ? StoreMode::Reset : StoreMode::Up;
 }
 
 }  // namespace
@@ -46,7 +46,9 @@
   return server;
 }
 
-bool MetadataServer::happens(double chance) { return std::uniform_real_distribution<>(0, 1)(random_) < chance; }
+bool MetadataServer::happens(double probability) {
+  return std::uniform_real_distribution<>(0, 1)(random_) < probability;
+}
 
 void MetadataServer::setFaults(const std::string& body) {
   const json document = json::parse(body, nullptr, false);
@@ -55,37 +57,37 @@
     return;
   }
   if (document.value("keep_copy", false)) {
-    copy_ = {revision_, kinds_, events_};
+    backup_ = {revision_, kinds_, events_};
     return;
   }
   if (document.value("restore_copy", false)) {
-    restoreCopy();
+    restoreBackup();
     return;
   }
-  faults_.mode = modeFrom(document.value("mode", "up"));
+  faults_.mode = parseMode(document.value("mode", "up"));
   faults_.delay = std::chrono::milliseconds(document.value("delay_ms", 0));
   faults_.lost = document.value("lost", 0.0);
   faults_.late = document.value("late", 0.0);
 }
 
-void MetadataServer::dropWatches() {
-  for (PendingWatch& waiter : waiters_) {
-    waiter.responder.drop();
+void MetadataServer::disconnectWatches() {
+  for (PendingWatch& watch : pending_watches_) {
+    watch.responder.drop();
   }
-  waiters_.clear();
+  pending_watches_.clear();
 }
 
 void MetadataServer::compactHistory() {
-  forgotten_ = revision_;
-  dropWatches();
+  compacted_revision_ = revision_;
+  disconnectWatches();
 }
 
-void MetadataServer::restoreCopy() {
+void MetadataServer::restoreBackup() {
   ++epoch_;
-  revision_ = copy_.revision;
-  kinds_ = copy_.kinds;
-  events_ = copy_.events;
-  dropWatches();
+  revision_ = backup_.revision;
+  kinds_ = backup_.kinds;
+  events_ = backup_.events;
+  disconnectWatches();
 }
 
 void MetadataServer::reply(const StandinResponder& responder, int status, const std::string& body) const {
@@ -131,7 +133,7 @@
     const auto& objects = kinds_[kind];
     const auto found = objects.find(name);
     reply(responder, found == objects.end() ? kNotFound : kOk,
-          found == objects.end() ? "{}" : objectText(name, found->second));
+          found == objects.end() ? "{}" : objectJson(name, found->second));
   } else if (request.query.contains("watch")) {
     watch(request, kind, responder);
   } else {
@@ -139,7 +141,7 @@
   }
 }
 
-std::string MetadataServer::objectText(const std::string& name, const Object& object) const {
+std::string MetadataServer::objectJson(const std::string& name, const Object& object) const {
   const json metadata = {{"name", name}, {"revision", object.revision}, {"finalizers", json::array()}};
   return json{{"metadata", metadata}, {"spec", json::parse(object.spec)}, {"status", nullptr}}.dump();
 }
@@ -149,59 +151,59 @@
   const auto objects = kinds_.find(kind);
   if (objects != kinds_.end()) {
     for (const auto& [name, object] : objects->second) {
-      items.push_back(json::parse(objectText(name, object)));
+      items.push_back(json::parse(objectJson(name, object)));
     }
   }
   reply(responder, kOk, json{{"items", items}, {"more", false}, {"at", revision_}}.dump());
 }
 
-std::string MetadataServer::eventsText(const std::string& kind, std::uint64_t after) {
+std::string MetadataServer::eventsJson(const std::string& kind, std::uint64_t after) {
   json events = json::array();
   for (const Event& event : events_) {
     if (event.kind == kind && event.revision > after) {
       const Object& object = event.removed ? *event.removed : kinds_.at(kind)[event.name];
-      const bool gone = event.removed.has_value();
-      events.push_back({{"gone", gone}, {"object", json::parse(objectText(event.name, object))}});
+      const bool removed = event.removed.has_value();
+      events.push_back({{"gone", removed}, {"object", json::parse(objectJson(event.name, object))}});
     }
   }
   return events.empty() ? "" : json{{"events", events}, {"at", revision_}}.dump();
 }
 
 void MetadataServer::watch(const StandinRequest& request, const std::string& kind, const StandinResponder& responder) {
-  const std::uint64_t after = numberOr(request.query, "watch");
-  if (after < forgotten_ || after > revision_) {
+  const std::uint64_t after = numberParameter(request.query, "watch");
+  if (after < compacted_revision_ || after > revision_) {
     reply(responder, kGone, "{}");
     return;
   }
-  const std::string events = eventsText(kind, after);
+  const std::string events = eventsJson(kind, after);
   if (!events.empty()) {
     reply(responder, kOk, events);
     return;
   }
-  const std::uint64_t number = ++last_waiter_;
-  waiters_.push_back({number, kind, after, responder});
-  const std::chrono::milliseconds wait(numberOr(request.query, "waitMs"));
-  loop_.runAfter(wait, [this, number] {
-    const auto still = std::find_if(waiters_.begin(), waiters_.end(),
-                                    [number](const PendingWatch& waiter) { return waiter.number == number; });
-    if (still == waiters_.end()) {
+  const std::uint64_t id = ++last_watch_id_;
+  pending_watches_.push_back({id, kind, after, responder});
+  const std::chrono::milliseconds wait(numberParameter(request.query, "waitMs"));
+  loop_.runAfter(wait, [this, id] {
+    const auto found = std::find_if(pending_watches_.begin(), pending_watches_.end(),
+                                    [id](const PendingWatch& pending) { return pending.id == id; });
+    if (found == pending_watches_.end()) {
       return;
     }
-    const StandinResponder empty = still->responder;
-    waiters_.erase(still);
-    reply(empty, kOk, json{{"events", json::array()}, {"at", revision_}}.dump());
+    const StandinResponder waiting = found->responder;
+    pending_watches_.erase(found);
+    reply(waiting, kOk, json{{"events", json::array()}, {"at", revision_}}.dump());
   });
 }
 
-void MetadataServer::answerWatches() {
-  for (auto waiter = waiters_.begin(); waiter != waiters_.end();) {
-    const std::string events = eventsText(waiter->kind, waiter->after);
+void MetadataServer::respondToWatches() {
+  for (auto watch = pending_watches_.begin(); watch != pending_watches_.end();) {
+    const std::string events = eventsJson(watch->kind, watch->after);
     if (events.empty()) {
-      ++waiter;
+      ++watch;
       continue;
     }
-    reply(waiter->responder, kOk, events);
-    waiter = waiters_.erase(waiter);
+    reply(watch->responder, kOk, events);
+    watch = pending_watches_.erase(watch);
   }
 }
 
@@ -212,17 +214,17 @@
   if (found == objects.end()) {
     return {kNotFound, "{}"};
   }
-  const std::uint64_t wanted = numberOr(request.query, "revision");
-  if (wanted != 0 && wanted != found->second.revision) {
-    return {kConflict, objectText(name, found->second)};
+  const std::uint64_t expected_revision = numberParameter(request.query, "revision");
+  if (expected_revision != 0 && expected_revision != found->second.revision) {
+    return {kConflict, objectJson(name, found->second)};
   }
   Object removed = found->second;
   objects.erase(found);
   removed.revision = ++revision_;
   std::erase_if(events_, [&](const Event& event) { return event.kind == kind && event.name == name; });
   events_.push_back({removed.revision, kind, name, removed});
-  answerWatches();
-  return {kOk, objectText(name, removed)};
+  respondToWatches();
+  return {kOk, objectJson(name, removed)};
 }
 
 std::pair<int, std::string> MetadataServer::apply(const StandinRequest& request, const std::string& kind,
@@ -237,22 +239,22 @@
   auto& objects = kinds_[kind];
   const auto found = objects.find(key);
   if (creates && found != objects.end()) {
-    return {kConflict, objectText(key, found->second)};
+    return {kConflict, objectJson(key, found->second)};
   }
   if (!creates && found == objects.end()) {
     return {kNotFound, "{}"};
   }
-  const std::uint64_t wanted = metadata.value("revision", std::uint64_t{0});
-  if (!creates && wanted != 0 && wanted != found->second.revision) {
-    return {kConflict, objectText(key, found->second)};
+  const std::uint64_t expected_revision = metadata.value("revision", std::uint64_t{0});
+  if (!creates && expected_revision != 0 && expected_revision != found->second.revision) {
+    return {kConflict, objectJson(key, found->second)};
   }
   Object& object = objects[key];
   object.revision = ++revision_;
   object.spec = document.value("spec", json()).dump();
   std::erase_if(events_, [&](const Event& event) { return event.kind == kind && event.name == key; });
   events_.push_back({object.revision, kind, key, std::nullopt});
-  answerWatches();
-  return {kOk, objectText(key, object)};
+  respondToWatches();
+  return {kOk, objectJson(key, object)};
 }
 
 void MetadataServer::write(const StandinRequest& request, const std::string& kind, const std::string& name,
--- a/standins/router/standin_keys_main.cc
+++ b/standins/router/standin_keys_main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Program `standin-keys`: a server beside a router, for the fault soak.
+/// Program `standin-keys`: a server that runs with a router in the soak.
 
 #include <boost/program_options.hpp>
 #include <csignal>
@@ -19,18 +19,19 @@
   unsigned work_ms = 20;
   options::options_description flags("standin-keys: a server that holds keys");
   flags.add_options()("help", "this text")("listen", options::value(&listen)->default_value("127.0.0.1:0"), "IP:PORT")(
-      "reports-to", options::value(&reports_to)->required(), "IP:PORT of the router's reports")(
-      "service", options::value(&config.service)->required(), "its service")(
-      "divided", options::bool_switch(&config.divided_by_key), "its service is divided by key")(
-      "keys-by-heartbeat", options::bool_switch(&config.keys_by_heartbeat), "it takes its keys by heartbeat")(
-      "slots", options::value(&config.slots), "requests at once")("work-ms", options::value(&work_ms), "of a request")(
-      "log", options::value(&config.log_file)->required(), "file for runs and grants")(
-      "seed", options::value(&config.seed), "of its faults")("fatal-path", options::value(&config.fatal_path),
-                                                             "path of a request under which it ends")(
-      "id", options::value(&config.id), "its id; one that no other life has where it is not given");
-  options::variables_map given;
-  options::store(options::parse_command_line(argc, argv, flags), given);
-  options::notify(given);
+      "reports-to", options::value(&reports_to)->required(), "IP:PORT to which heartbeats are sent")(
+      "service", options::value(&config.service)->required(), "service of the server")(
+      "divided", options::bool_switch(&config.divided_by_key), "the service is divided by key")(
+      "keys-by-heartbeat", options::bool_switch(&config.keys_by_heartbeat), "receive keys by heartbeat")(
+      "slots", options::value(&config.slots), "maximum of concurrent requests")(
+      "work-ms", options::value(&work_ms), "duration of a request in milliseconds")(
+      "log", options::value(&config.log_file)->required(), "log file for requests and grants")(
+      "seed", options::value(&config.seed), "seed of the random faults")(
+      "fatal-path", options::value(&config.fatal_path), "path of requests that crash the server")(
+      "id", options::value(&config.id), "server id; by default unique to the instance");
+  options::variables_map values;
+  options::store(options::parse_command_line(argc, argv, flags), values);
+  options::notify(values);
   const auto endpoint = standins::parseEndpoint(listen);
   const auto reports = standins::parseEndpoint(reports_to);
   if (!endpoint || !reports) {
@@ -41,7 +42,7 @@
   config.reports_to = *reports;
   config.request_duration = std::chrono::milliseconds(work_ms);
   config.on_fatal_begin = [] {};
-  // As a crash: nothing is answered, connections break.
+  // Simulates a crash: requests get no response and connections break.
   config.on_fatal_end = [] { std::raise(SIGKILL); };
   EventLoop loop;
   return leaf::try_handle_all(
--- a/standins/router/standin_metadata_main.cc
+++ b/standins/router/standin_metadata_main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Program `standin-metadata`: the platform's store, for the fault soak.
+/// Program `standin-metadata`: the platform's store in the soak.
 
 #include <boost/program_options.hpp>
 #include <cstdlib>
@@ -16,12 +16,12 @@
   std::uint64_t seed = 1;
   options::options_description flags("standin-metadata: objects with revisions and watches");
   flags.add_options()("help", "this text")("listen", options::value(&listen)->default_value("127.0.0.1:0"), "IP:PORT")(
-      "seed", options::value(&seed), "of its faults");
-  options::variables_map given;
-  options::store(options::parse_command_line(argc, argv, flags), given);
-  options::notify(given);
+      "seed", options::value(&seed), "seed of the random faults");
+  options::variables_map values;
+  options::store(options::parse_command_line(argc, argv, flags), values);
+  options::notify(values);
   const std::optional<Endpoint> endpoint = standins::parseEndpoint(listen);
-  if (given.contains("help") || !endpoint) {
+  if (values.contains("help") || !endpoint) {
     std::cout << flags;
     return EXIT_FAILURE;
   }
--- a/standins/standin_http_server.cc
+++ b/standins/standin_http_server.cc
@@ -15,12 +15,12 @@
 
 namespace {
 
-struct MethodWord {
+struct MethodName {
   evhttp_cmd_type type;
-  const char* word;
+  const char* name;
 };
 
-constexpr std::array<MethodWord, 9> kMethods = {{{EVHTTP_REQ_GET, "GET"},
+constexpr std::array<MethodName, 9> kMethods = {{{EVHTTP_REQ_GET, "GET"},
                                                  {EVHTTP_REQ_POST, "POST"},
                                                  {EVHTTP_REQ_HEAD, "HEAD"},
                                                  {EVHTTP_REQ_PUT, "PUT"},
@@ -30,21 +30,21 @@
                                                  {EVHTTP_REQ_CONNECT, "CONNECT"},
                                                  {EVHTTP_REQ_PATCH, "PATCH"}}};
 
-std::string decoded(const std::string& text) {
+std::string percentDecode(const std::string& text) {
   std::size_t size = 0;
   char* const plain = evhttp_uridecode(text.c_str(), 0, &size);
   if (plain == nullptr) {
     return text;
   }
   std::string result(plain, size);
-  free(plain);  // NOLINT(cppcoreguidelines-no-malloc): evhttp's own allocation
+  free(plain);  // NOLINT(cppcoreguidelines-no-malloc): allocated by evhttp with malloc
   return result;
 }
 
-void readTarget(StandinRequest& request) {
+void parseTarget(StandinRequest& request) {
   const std::string& target = request.http.target;
   const std::size_t mark = target.find('?');
-  request.path = decoded(target.substr(0, mark));
+  request.path = percentDecode(target.substr(0, mark));
   if (mark == std::string::npos) {
     return;
   }
@@ -60,7 +60,7 @@
   StandinRequest request;
   const evhttp_cmd_type type = evhttp_request_get_command(raw);
   const auto method = std::find_if(kMethods.begin(), kMethods.end(), [type](const auto& m) { return m.type == type; });
-  request.http.method = method == kMethods.end() ? "" : method->word;
+  request.http.method = method == kMethods.end() ? "" : method->name;
   request.http.target = evhttp_request_get_uri(raw);
   const evkeyvalq* headers = evhttp_request_get_input_headers(raw);
   for (const evkeyval* field = headers->tqh_first; field != nullptr; field = field->next.tqe_next) {
@@ -69,11 +69,11 @@
   evbuffer* body = evhttp_request_get_input_buffer(raw);
   request.http.body.resize(evbuffer_get_length(body));
   evbuffer_copyout(body, request.http.body.data(), request.http.body.size());
-  readTarget(request);
+  parseTarget(request);
   return request;
 }
 
-std::string asBytes(const HttpResponse& response) {
+std::string serialize(const HttpResponse& response) {
   std::string bytes = "HTTP/1.1 " + std::to_string(response.status) + " Again\r\n";
   for (const HttpHeader& header : response.headers) {
     bytes += header.name + ": " + header.value + "\r\n";
@@ -92,7 +92,7 @@
   return "";
 }
 
-/// One request and its answer.
+/// One request and its response.
 class StandinResponder::Exchange {
  public:
   Exchange(StandinHttpServer& server, evhttp_request* request) : server_(&server), request_(request) {}
@@ -102,18 +102,18 @@
 
   bool open() const { return request_ != nullptr; }
 
-  void send(const HttpResponse& response, const std::string& behind) {
+  void send(const HttpResponse& response, const std::string& trailing_bytes) {
     if (!open()) {
       return;
     }
     addHeaders(response);
     const EventBuffer body(evbuffer_new());
     evbuffer_add(body.get(), response.body.data(), response.body.size());
-    evbuffer_add(body.get(), behind.data(), behind.size());
+    evbuffer_add(body.get(), trailing_bytes.data(), trailing_bytes.size());
     evhttp_send_reply(std::exchange(request_, nullptr), response.status, nullptr, body.get());
   }
 
-  void sendCut(const HttpResponse& response) {
+  void sendTruncated(const HttpResponse& response) {
     if (!open()) {
       return;
     }
@@ -122,7 +122,7 @@
     const EventBuffer body(evbuffer_new());
     evbuffer_add(body.get(), response.body.data(), response.body.size() / 2);
     evhttp_request* const request = std::exchange(request_, nullptr);
-    evhttp_send_reply_chunk_with_cb(request, body.get(), &Exchange::cutWritten, server_);
+    evhttp_send_reply_chunk_with_cb(request, body.get(), &Exchange::onTruncatedWritten, server_);
   }
 
   void drop() {
@@ -131,18 +131,18 @@
     }
   }
 
-  /// The client went away; evhttp has left the request to us.
-  void connectionGone() {
+  /// Frees the request: when the client closes the connection, evhttp leaves the request to its handler.
+  void onConnectionClosed() {
     if (open()) {
       evhttp_request_free(std::exchange(request_, nullptr));
     }
   }
 
-  /// The server is being destroyed and frees the request with its connection.
-  void forget() { request_ = nullptr; }
+  /// Drops the reference to the request, which the server frees with its connection on destruction.
+  void detach() { request_ = nullptr; }
 
  private:
-  static void cutWritten(evhttp_connection* connection, void* server) {
+  static void onTruncatedWritten(evhttp_connection* connection, void* server) {
     static_cast<StandinHttpServer*>(server)->closeSoon(connection);
   }
 
@@ -164,9 +164,9 @@
   reply({status, {{"Content-Type", "application/json"}}, json});
 }
 
-void StandinResponder::replyTruncated(const HttpResponse& response) { exchange_->sendCut(response); }
+void StandinResponder::replyTruncated(const HttpResponse& response) { exchange_->sendTruncated(response); }
 
-void StandinResponder::replyTwice(const HttpResponse& response) { exchange_->send(response, asBytes(response)); }
+void StandinResponder::replyTwice(const HttpResponse& response) { exchange_->send(response, serialize(response)); }
 
 void StandinResponder::drop() { exchange_->drop(); }
 
@@ -180,7 +180,7 @@
   server->connection_limit_ = connection_limit;
   server->http_.reset(evhttp_new(loop.base()));
   unsigned methods = 0;
-  for (const MethodWord& method : kMethods) {
+  for (const MethodName& method : kMethods) {
     methods |= method.type;
   }
   evhttp_set_allowed_methods(server->http_.get(), static_cast<ev_uint16_t>(methods));
@@ -201,7 +201,7 @@
   *alive_ = false;
   for (auto& [connection, exchange] : connections_) {
     if (const auto open = exchange.lock()) {
-      open->forget();
+      open->detach();
     }
     evhttp_connection_set_closecb(connection, nullptr, nullptr);
   }
@@ -236,12 +236,12 @@
   const auto exchange = found->second.lock();
   server->connections_.erase(found);
   if (exchange) {
-    exchange->connectionGone();
+    exchange->onConnectionClosed();
   }
 }
 
 void StandinHttpServer::closeSoon(evhttp_connection* connection) {
-  // evhttp does not bear that a connection is freed inside its own callbacks.
+  // evhttp does not allow a connection to be freed inside its own callbacks.
   loop_.post([this, connection, alive = alive_] {
     if (*alive && connections_.contains(connection)) {
       evhttp_connection_free(connection);
--- a/standins/standin_http_server.h
+++ b/standins/standin_http_server.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// HTTP server of the stand-ins, by evhttp. Unlike the product's it can answer wrongly on purpose: cut an
-/// answer, send it twice, close without one, and refuse connections over a cap.
+/// HTTP server of the stand-ins, based on evhttp. Unlike the product's server, it can misbehave deliberately: truncate
+/// a response, send it twice, close without a response, and refuse connections beyond a limit.
 
 #include <cstdint>
 #include <functional>
@@ -23,27 +23,27 @@
 
 struct StandinRequest {
   HttpRequest http;
-  /// The target's path, percent-decoded, without the query.
+  /// Path of the target, percent-decoded, without the query.
   std::string path;
   std::map<std::string, std::string> query;
 
-  /// @return the header's value, names compared without case; empty when absent.
+  /// @return the header's value, with names compared case-insensitively; empty if absent.
   std::string header(const std::string& name) const;
 };
 
-/// Answers one request, now or later; copies name the same request. When all are gone without an answer the
-/// connection is closed.
+/// Responds to one request, immediately or later; copies refer to the same request. When the last copy is destroyed
+/// without a response, the connection is closed.
 class StandinResponder {
  public:
   void reply(const HttpResponse& response);
   void replyJson(int status, const std::string& json);
-  /// Sends the headers of the whole answer and half of its body, then closes.
+  /// Sends the headers of the complete response and half of its body, then closes the connection.
   void replyTruncated(const HttpResponse& response);
-  /// Sends the answer twice in one go.
+  /// Sends the response twice in succession.
   void replyTwice(const HttpResponse& response);
-  /// Closes the connection without an answer.
+  /// Closes the connection without a response.
   void drop();
-  /// @return whether an answer can still reach the client.
+  /// @return whether a response can still be sent.
   bool open() const;
 
   class Exchange;
@@ -57,7 +57,7 @@
 
 class StandinHttpServer {
  public:
-  /// @param connection_limit a first request on a connection beyond it finds the connection closed; 0: none.
+  /// @param connection_limit a connection beyond it is closed at its first request; 0 means no limit.
   /// @return the server, or a NetworkError.
   static leaf::result<std::unique_ptr<StandinHttpServer>> listen(EventLoop& loop, const Endpoint& listen,
                                                                  std::size_t connection_limit, StandinHandler handler);
@@ -81,9 +81,9 @@
   Endpoint endpoint_;
   StandinHandler handler_;
   std::size_t connection_limit_ = 0;
-  /// Connections that have brought a request, with the one in hand.
+  /// Connections that have sent a request, with the exchange of the latest request.
   std::unordered_map<evhttp_connection*, std::weak_ptr<StandinResponder::Exchange>> connections_;
-  /// Ends callbacks that outlive the server.
+  /// Disables posted callbacks that outlive the server.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/standins/standin_process.h
+++ b/standins/standin_process.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What the stand-ins' programs share: reading places, announcing the port, ending on SIGTERM.
+/// Shared by the stand-in programs: parses endpoints, prints the port and runs until a signal.
 
 #include <optional>
 #include <string>
@@ -12,10 +12,10 @@
 namespace shedlever::standins {
 
 /// @param text "IP:PORT".
-/// @return nothing when it is none.
+/// @return the endpoint; nothing if the text is invalid. The address is not checked.
 std::optional<Endpoint> parseEndpoint(const std::string& text);
 
-/// Prints "listening port=N", then runs the loop until SIGTERM or SIGINT.
+/// Prints "listening port=N", then runs the loop until SIGTERM or SIGINT. Ignores SIGPIPE.
 void runUntilSignalled(EventLoop& loop, const Endpoint& listening);
 
 }  // namespace shedlever::standins
--- a/test/soak/loopback_ports_test.cc
+++ b/test/soak/loopback_ports_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Seed 903 of the soak: two endpoints of one deployment were given one port, before a process listened at either.
+/// Tests that no two endpoints get the same port, within a deployment and between concurrent ones.
 
 #include "soak/loopback_ports.h"
 
@@ -10,29 +10,29 @@
 namespace shedlever::soak::test {
 namespace {
 
-TEST(LoopbackPortsTest, NoPortIsGivenTwice) {
-  constexpr std::size_t kMany = 600;
+TEST(LoopbackPortsTest, EachPortIsAllocatedAtMostOnce) {
+  constexpr std::size_t kAllocations = 600;
   EventLoop loop;
   LoopbackPorts ports(loop, 1);
-  std::set<std::uint16_t> given;
-  for (std::size_t i = 0; i < kMany; ++i) {
-    given.insert(ports.next().port);
+  std::set<std::uint16_t> allocated;
+  for (std::size_t i = 0; i < kAllocations; ++i) {
+    allocated.insert(ports.next().port);
   }
-  EXPECT_EQ(given.size(), kMany);
+  EXPECT_EQ(allocated.size(), kAllocations);
 }
 
-// Seed 2000, twice at once: both deployments were given the same ports and broke each other.
-TEST(LoopbackPortsTest, TwoRunsAtOnceAreGivenDifferentPorts) {
-  constexpr std::size_t kMany = 300;
+// Guards against concurrent deployments with the same seed using the same ports.
+TEST(LoopbackPortsTest, ConcurrentAllocatorsWithTheSameSeedUseDifferentPorts) {
+  constexpr std::size_t kAllocations = 300;
   EventLoop loop;
-  LoopbackPorts one(loop, 1);
-  LoopbackPorts other(loop, 1);
-  std::set<std::uint16_t> given;
-  for (std::size_t i = 0; i < kMany; ++i) {
-    given.insert(one.next().port);
-    given.insert(other.next().port);
+  LoopbackPorts first(loop, 1);
+  LoopbackPorts second(loop, 1);
+  std::set<std::uint16_t> allocated;
+  for (std::size_t i = 0; i < kAllocations; ++i) {
+    allocated.insert(first.next().port);
+    allocated.insert(second.next().port);
   }
-  EXPECT_EQ(given.size(), 2 * kMany);
+  EXPECT_EQ(allocated.size(), 2 * kAllocations);
 }
 
 }  // namespace
--- a/test/support/child_process.cc
+++ b/test/support/child_process.cc
@@ -16,18 +16,18 @@
 namespace {
 
 constexpr int kExecFailed = 127;
-constexpr int kLogMode = 0644;
+constexpr int kLogFileMode = 0644;
 
-/// Runs in the child: only calls that are safe between fork and exec.
-[[noreturn]] void becomeProgram(const char* program, char* const* arguments, int log, pid_t parent) {
-  // A test that is killed on its time limit leaves nothing behind. posix_spawn can't do this.
+/// Runs in the child; uses only calls that are safe between fork and exec.
+[[noreturn]] void execProgram(const char* program, char* const* arguments, int log, pid_t parent) {
+  // Ends the child also when the test is killed, for example at its time limit; posix_spawn has no such option.
   prctl(PR_SET_PDEATHSIG, SIGKILL);
   if (getppid() != parent) {
     _exit(kExecFailed);
   }
-  sigset_t none;
-  sigemptyset(&none);
-  sigprocmask(SIG_SETMASK, &none, nullptr);
+  sigset_t no_signals;
+  sigemptyset(&no_signals);
+  sigprocmask(SIG_SETMASK, &no_signals, nullptr);
   dup2(log, STDOUT_FILENO);
   dup2(log, STDERR_FILENO);
   execv(program, arguments);
@@ -37,7 +37,7 @@
 }  // namespace
 
 leaf::result<std::unique_ptr<ChildProcess>> ChildProcess::start(ChildProcessSpec spec) {
-  const int log = open(spec.log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kLogMode);
+  const int log = open(spec.log_file.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kLogFileMode);
   if (log < 0) {
     return leaf::new_error(NetworkError{"open " + spec.log_file, errno});
   }
@@ -49,12 +49,12 @@
   const pid_t parent = getpid();
   const pid_t pid = fork();
   if (pid == 0) {
-    becomeProgram(spec.program.c_str(), arguments.data(), log, parent);
+    execProgram(spec.program.c_str(), arguments.data(), log, parent);
   }
-  const int failure = errno;
+  const int error = errno;
   close(log);
   if (pid < 0) {
-    return leaf::new_error(NetworkError{"fork " + spec.program, failure});
+    return leaf::new_error(NetworkError{"fork " + spec.program, error});
   }
   return std::unique_ptr<ChildProcess>(new ChildProcess(std::move(spec), pid));
 }
@@ -74,21 +74,21 @@
 
 std::optional<ChildExit> ChildProcess::poll() {
   int status = 0;
-  if (end_ || waitpid(pid_, &status, WNOHANG) != pid_) {
-    return end_;
+  if (exit_ || waitpid(pid_, &status, WNOHANG) != pid_) {
+    return exit_;
   }
-  end_ = ChildExit{};
+  exit_ = ChildExit{};
   if (WIFEXITED(status)) {
-    end_->status = WEXITSTATUS(status);
+    exit_->status = WEXITSTATUS(status);
   } else if (WIFSIGNALED(status)) {
-    end_->signal = WTERMSIG(status);
+    exit_->signal = WTERMSIG(status);
   }
-  return end_;
+  return exit_;
 }
 
-std::optional<ChildExit> ChildProcess::waitForExit(EventLoop& loop, Duration cap) {
+std::optional<ChildExit> ChildProcess::waitForExit(EventLoop& loop, Duration limit) {
   waitFor(
-      loop, [this] { return poll().has_value(); }, cap);
+      loop, [this] { return poll().has_value(); }, limit);
   return poll();
 }
 
--- a/test/support/child_process.h
+++ b/test/support/child_process.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One child process: started, signalled, waited for, and ended with its owner.
+/// A child process that is started, signalled and waited for, and is killed when its owner is destroyed.
 
 #include <sys/types.h>
 
@@ -18,24 +18,25 @@
 struct ChildProcessSpec {
   std::string program;
   std::vector<std::string> arguments;
-  /// Takes standard output and error; appended to.
+  /// Standard output and error are appended to this file.
   std::string log_file;
 };
 
-/// How a child ended.
+/// The exit of a child process.
 struct ChildExit {
-  /// Exit status; -1 when a signal ended it.
+  /// Exit status; -1 if a signal ended the child.
   int status = -1;
-  /// The signal that ended it; 0 for none.
+  /// The signal that ended the child; 0 for none.
   int signal = 0;
 };
 
 class ChildProcess {
  public:
-  /// The child is killed when the thread that starts it ends, however that happens.
-  /// @return the child, or a NetworkError when it could not be started.
+  /// The kernel kills the child when the thread that starts it ends for any reason.
+  /// @return the child, or a NetworkError if the log could not be opened or the fork failed. If the program cannot be
+  /// executed, the child exits with status 127.
   static leaf::result<std::unique_ptr<ChildProcess>> start(ChildProcessSpec spec);
-  /// Kills the child, stopped or not, and takes its end.
+  /// Kills the child, also if it is stopped, and waits for its exit.
   ~ChildProcess();
   ChildProcess(const ChildProcess&) = delete;
   ChildProcess& operator=(const ChildProcess&) = delete;
@@ -43,21 +44,22 @@
   pid_t pid() const { return pid_; }
   const ChildProcessSpec& spec() const { return spec_; }
 
-  /// Sends a signal; does nothing once the child has ended.
+  /// Sends a signal; does nothing if the child has exited.
   void signal(int number);
 
-  /// @return how the child ended; nothing while it lives.
+  /// @return the exit of the child; nothing while it is running.
   std::optional<ChildExit> poll();
 
-  /// Runs the loop until the child has ended or the cap is over.
-  std::optional<ChildExit> waitForExit(EventLoop& loop, Duration cap);
+  /// Runs the loop until the child has exited or the time limit has passed.
+  /// @return the exit of the child; nothing if it is still running.
+  std::optional<ChildExit> waitForExit(EventLoop& loop, Duration limit);
 
  private:
   ChildProcess(ChildProcessSpec spec, pid_t pid) : spec_(std::move(spec)), pid_(pid) {}
 
   ChildProcessSpec spec_;
   pid_t pid_;
-  std::optional<ChildExit> end_;
+  std::optional<ChildExit> exit_;
 };
 
 }  // namespace shedlever::test
--- a/test/support/event_queue.h
+++ b/test/support/event_queue.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Events that wait to run, in whatever order a test picks.
+/// A queue of events that a test runs in the order of its choice.
 
 #include <functional>
 #include <vector>
@@ -15,14 +15,15 @@
   bool empty() const { return events_.empty(); }
   std::size_t size() const { return events_.size(); }
 
-  /// Takes one event out and runs it. @param index in the order of posting, below `size()`.
+  /// Removes one event and runs it.
+  /// @param index in the order of posting, less than `size()`.
   void run(std::size_t index) {
     const std::function<void()> event = std::move(events_.at(index));
     events_.erase(events_.begin() + static_cast<std::ptrdiff_t>(index));
     event();
   }
 
-  /// Runs all in the order of posting, those included that come meanwhile.
+  /// Runs all events in the order of posting, including those that are posted meanwhile.
   void runAll() {
     while (!empty()) {
       run(0);
--- a/test/support/event_wait.cc
+++ b/test/support/event_wait.cc
@@ -6,24 +6,24 @@
 
 namespace {
 
-constexpr Duration kAskAgain = std::chrono::milliseconds(10);
+constexpr Duration kPollInterval = std::chrono::milliseconds(10);
 
 }  // namespace
 
-bool waitFor(EventLoop& loop, const std::function<bool()>& reached, Duration cap) {
+bool waitFor(EventLoop& loop, const std::function<bool()>& condition, Duration limit) {
   const BootClockImpl clock;
-  const TimePoint over = clock.now() + cap;
-  while (!reached()) {
-    if (clock.now() >= over) {
+  const TimePoint deadline = clock.now() + limit;
+  while (!condition()) {
+    if (clock.now() >= deadline) {
       return false;
     }
-    runFor(loop, kAskAgain);
+    runFor(loop, kPollInterval);
   }
   return true;
 }
 
-void runFor(EventLoop& loop, Duration time) {
-  loop.runUntil([] { return false; }, time);
+void runFor(EventLoop& loop, Duration duration) {
+  loop.runUntil([] { return false; }, duration);
 }
 
 }  // namespace shedlever::test
--- a/test/support/event_wait.h
+++ b/test/support/event_wait.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Waiting for something outside the loop, bounded.
+/// Waits, with a time limit, for conditions outside the event loop.
 
 #include <functional>
 
@@ -9,12 +9,12 @@
 
 namespace shedlever::test {
 
-/// Runs the loop until `reached` or the cap is over; `reached` is asked every few milliseconds and may run the
-/// loop itself.
-/// @return whether it was reached.
-bool waitFor(EventLoop& loop, const std::function<bool()>& reached, Duration cap);
+/// Runs the loop until `condition` holds or the time limit has passed; `condition` is polled every few milliseconds and
+/// may run the loop itself.
+/// @return whether the condition held.
+bool waitFor(EventLoop& loop, const std::function<bool()>& condition, Duration limit);
 
-/// Runs the loop for the time given.
-void runFor(EventLoop& loop, Duration time);
+/// Runs the loop for the duration.
+void runFor(EventLoop& loop, Duration duration);
 
 }  // namespace shedlever::test
--- a/test/support/fake_object_store.cc
+++ b/test/support/fake_object_store.cc
@@ -4,8 +4,9 @@
 
 namespace {
 
-/// Counts a fault down. @return whether it strikes now.
-bool strikes(std::uint32_t& fault) {
+/// Decrements the count of a fault.
+/// @return whether the fault applies to this call.
+bool consumeFault(std::uint32_t& fault) {
   if (fault == 0) {
     return false;
   }
@@ -20,22 +21,22 @@
 }  // namespace
 
 ReadResult FakeObjectStore::read(const std::string& name) {
-  if (faults.down || strikes(faults.unavailable_reads)) {
+  if (faults.down || consumeFault(faults.unavailable_reads)) {
     return {};
   }
   const std::vector<StoredObject>& versions = objects_[name];
-  const std::size_t hidden = strikes(faults.stale_reads) ? 1 : 0;
-  if (versions.size() <= hidden) {
+  const std::size_t hidden_versions = consumeFault(faults.stale_reads) ? 1 : 0;
+  if (versions.size() <= hidden_versions) {
     return {ReadStatus::Absent, {}};
   }
-  return {ReadStatus::Found, versions[versions.size() - 1 - hidden]};
+  return {ReadStatus::Found, versions[versions.size() - 1 - hidden_versions]};
 }
 
 WriteResult FakeObjectStore::write(const std::string& name, ObjectVersion expected, const std::string& value) {
   const std::vector<StoredObject>& versions = objects_[name];
-  const ObjectVersion present = versions.empty() ? 0 : versions.back().version;
-  if (present != expected) {
-    return {WriteStatus::Conflict, present};
+  const ObjectVersion current = versions.empty() ? 0 : versions.back().version;
+  if (current != expected) {
+    return {WriteStatus::Conflict, current};
   }
   return {WriteStatus::Accepted, put(name, value)};
 }
@@ -53,14 +54,14 @@
 void FakeObjectStore::putIfVersion(const std::string& name, ObjectVersion expected, const std::string& value,
                                    std::function<void(const WriteResult&)> done) {
   queue_.post([this, name, expected, value, done = std::move(done)] {
-    if (faults.down || strikes(faults.lost_writes)) {
+    if (faults.down || consumeFault(faults.lost_writes)) {
       done({});
-    } else if (strikes(faults.late_writes)) {
+    } else if (consumeFault(faults.late_writes)) {
       queue_.post([this, name, expected, value] { write(name, expected, value); });
       done({});
     } else {
       const WriteResult result = write(name, expected, value);
-      done(strikes(faults.lost_responses) ? WriteResult{} : result);
+      done(consumeFault(faults.lost_responses) ? WriteResult{} : result);
     }
   });
 }
@@ -68,7 +69,7 @@
 void FakeObjectStore::list(const std::string& prefix, std::function<void(const ListResult&)> done) {
   queue_.post([this, prefix, done = std::move(done)] {
     ListResult result;
-    result.available = !faults.down && !strikes(faults.unavailable_reads);
+    result.available = !faults.down && !consumeFault(faults.unavailable_reads);
     result.version = result.available ? last_version_ : 0;
     for (const auto& [name, versions] : objects_) {
       if (result.available && !versions.empty() && startsWith(name, prefix)) {
--- a/test/support/fake_object_store.h
+++ b/test/support/fake_object_store.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// An object store in memory, with faults. Answers wait in an event queue until the test runs them.
+/// An in-memory object store with faults. Responses wait in an event queue until the test runs them.
 
 #include <map>
 #include <string>
@@ -12,24 +12,24 @@
 
 namespace shedlever::test {
 
-/// Faults of the next calls; each number counts down with each use.
+/// Faults of the next calls; each count decreases with each use.
 struct StoreFaults {
-  /// No call is answered with more than "unavailable", and nothing is written.
+  /// Every call fails as unavailable, and nothing is written.
   bool down = false;
   std::uint32_t unavailable_reads = 0;
-  /// Reads that show the version before the present one.
+  /// Reads that return the version before the current one.
   std::uint32_t stale_reads = 0;
-  /// Writes that are made, but answered as unknown.
+  /// Writes that are executed, but whose outcome is reported as unknown.
   std::uint32_t lost_responses = 0;
-  /// Writes that are answered as unknown and made later, if their version still holds then.
+  /// Writes whose outcome is reported as unknown and that are executed later, if the expected version is still current.
   std::uint32_t late_writes = 0;
-  /// Writes that are answered as unknown and never made.
+  /// Writes whose outcome is reported as unknown and that are never executed.
   std::uint32_t lost_writes = 0;
 };
 
 class FakeObjectStore final : public ObjectStore {
  public:
-  /// @param queue outlives the store.
+  /// @param queue must outlive the store.
   explicit FakeObjectStore(EventQueue& queue) : queue_(queue) {}
 
   void get(const std::string& name, std::function<void(const ReadResult&)> done) override;
@@ -39,10 +39,11 @@
 
   StoreFaults faults;
 
-  /// Writes at once, as another writer would. @return the new version.
+  /// Writes immediately, as another writer would.
+  /// @return the new version.
   ObjectVersion put(const std::string& name, const std::string& value);
 
-  /// @return every version that the object ever had, ascending.
+  /// @return all versions of the object, in ascending order.
   const std::vector<StoredObject>& versionsOf(const std::string& name) { return objects_[name]; }
 
  private:
--- a/test/support/fake_peer.h
+++ b/test/support/fake_peer.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The other end of streams between routers, with an identity and a behaviour that the test decides.
+/// The server end of streams between routers, with an identity and behaviour that the test controls.
 
 #include <cstddef>
 #include <functional>
@@ -17,8 +17,8 @@
 
 namespace shedlever::test {
 
-/// Answers each hello with its identity, each question what became of a request with "never begun", and each call to
-/// the store with a status.
+/// Responds to each hello with its identity, to each exchange query with "not started", and to each store call with a
+/// status.
 class FakePeer {
  public:
   FakePeer(EventLoop& loop, NodeIdentity identity) : loop_(loop), identity_(std::move(identity)) {
@@ -30,18 +30,18 @@
 
   const Endpoint& endpoint() const { return listener_->endpoint(); }
 
-  /// The process ends, and another one begins at the same address.
+  /// Closes all streams and continues as another process at the same address.
   void restartAs(NodeIdentity identity) {
     identity_ = std::move(identity);
     streams_.clear();
   }
 
-  /// Status with which calls to the store are answered.
+  /// HTTP status of the replies to store calls.
   int store_status = 200;
   std::size_t store_calls = 0;
   std::size_t forwarded_requests = 0;
   std::size_t exchange_queries = 0;
-  /// Answers requests; none, or no function: the request stays without an answer.
+  /// Makes the reply to a forwarded request; without a function or a reply, the request stays unanswered.
   std::function<std::optional<ForwardReplyFrame>(const ForwardFrame&)> on_forward;
 
  private:
@@ -53,20 +53,20 @@
       const RouterFrame frame = decodeRouterFrame(message).value();
       if (std::holds_alternative<HelloFrame>(frame)) {
         stream.send(encodeRouterFrame(HelloFrame{peer.identity_.name, peer.identity_.incarnation, false, {}}));
-      } else if (const auto* settle = std::get_if<ExchangeQueryFrame>(&frame)) {
+      } else if (const auto* query = std::get_if<ExchangeQueryFrame>(&frame)) {
         ++peer.exchange_queries;
-        stream.send(encodeRouterFrame(ExchangeQueryReplyFrame{settle->exchange, ExchangeState::NotStarted}));
+        stream.send(encodeRouterFrame(ExchangeQueryReplyFrame{query->exchange, ExchangeState::NotStarted}));
       } else if (const auto* call = std::get_if<StoreCallFrame>(&frame)) {
         ++peer.store_calls;
         stream.send(encodeRouterFrame(StoreReplyFrame{call->exchange, true, {peer.store_status, {}, {}}}));
       } else if (const auto* forward = std::get_if<ForwardFrame>(&frame)) {
         ++peer.forwarded_requests;
-        answer(*forward);
+        replyTo(*forward);
       }
     }
     void onEnd() override {}
 
-    void answer(const ForwardFrame& forward) {
+    void replyTo(const ForwardFrame& forward) {
       std::optional<ForwardReplyFrame> reply = peer.on_forward ? peer.on_forward(forward) : std::nullopt;
       if (reply) {
         reply->exchange = forward.exchange;
--- a/test/support/http_call.cc
+++ b/test/support/http_call.cc
@@ -11,13 +11,13 @@
   HttpClientConfig config;
   config.server = to;
   HttpClient client(loop, config);
-  std::optional<HttpExchange> ended;
-  client.send(request, timeout, [&ended](HttpExchange exchange) { ended = std::move(exchange); });
-  loop.runUntil([&ended] { return ended.has_value(); }, timeout + std::chrono::seconds(1));
-  if (!ended || ended->status != HttpExchangeStatus::Complete) {
+  std::optional<HttpExchange> result;
+  client.send(request, timeout, [&result](HttpExchange exchange) { result = std::move(exchange); });
+  loop.runUntil([&result] { return result.has_value(); }, timeout + std::chrono::seconds(1));
+  if (!result || result->status != HttpExchangeStatus::Complete) {
     return std::nullopt;
   }
-  return std::move(ended->response);
+  return std::move(result->response);
 }
 
 std::optional<HttpResponse> httpCall(EventLoop& loop, const Endpoint& to, const std::string& method,
--- a/test/support/http_call.h
+++ b/test/support/http_call.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// HTTP calls that wait for their answer while the loop runs on.
+/// HTTP calls that run the event loop until the response arrives.
 
 #include <optional>
 #include <string>
@@ -12,11 +12,11 @@
 
 namespace shedlever::test {
 
-/// @return the whole answer; nothing when there was none in time.
+/// @return the complete response; nothing if none arrived within the timeout.
 std::optional<HttpResponse> httpCall(EventLoop& loop, const Endpoint& to, const HttpRequest& request, Duration timeout);
 
 /// @param target path and query.
-/// @return the whole answer; nothing when there was none in time.
+/// @return the complete response; nothing if none arrived within the timeout.
 std::optional<HttpResponse> httpCall(EventLoop& loop, const Endpoint& to, const std::string& method,
                                      const std::string& target, const std::string& body, Duration timeout);
 
--- a/test/support/ownership_expectations.h
+++ b/test/support/ownership_expectations.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What must hold of every simulated world of owners.
+/// Expectations that hold for every simulated ownership world.
 
 #include <gtest/gtest.h>
 
@@ -9,14 +9,14 @@
 
 namespace shedlever::sim::test {
 
-/// Fails with the first promise that was broken, if any was.
+/// Fails with the first violation, if there is one.
 inline void expectNoViolations(const OwnershipWorld& world) {
   if (!world.violations().empty()) {
     ADD_FAILURE() << world.violations().front();
   }
 }
 
-/// All faults end and all processes and servers start again: every key is served once that has settled.
+/// Ends all faults, restarts all processes and servers, and expects that every sampled key is served after 30 seconds.
 inline void expectRecovery(OwnershipWorld& world, std::size_t nodes) {
   expectNoViolations(world);
   for (std::size_t node = 0; node < nodes; ++node) {
--- a/test/support/router_cluster.cc
+++ b/test/support/router_cluster.cc
@@ -19,8 +19,8 @@
 
 constexpr Duration kClientTimeout = seconds(20);
 constexpr int kOk = 200;
-/// Longer than any machine needs, however busy it is.
-constexpr Duration kEvacuatedWithin = seconds(5);
+/// Longer than an evacuation takes on a busy machine.
+constexpr Duration kEvacuationTimeLimit = seconds(5);
 
 template <class Value>
 std::unique_ptr<Value> valueOf(leaf::result<std::unique_ptr<Value>> result) {
@@ -28,7 +28,7 @@
   return result ? std::move(result.value()) : nullptr;
 }
 
-json route(const std::string& prefix) {
+json routeJson(const std::string& prefix) {
   const bool keyed = prefix == "/search/";
   return {{"name", prefix},       {"host", "h"},
           {"pathPrefix", prefix}, {"kind", keyed ? "idempotent" : "non_idempotent"},
@@ -46,7 +46,7 @@
   store_ = valueOf(standins::MetadataServer::listen(loop_, kAnyLoopbackPort, 1));
   HttpClientConfig config;
   config.server = store_->endpoint();
-  operator_ = std::make_unique<HttpClient>(loop_, config);
+  operator_client_ = std::make_unique<HttpClient>(loop_, config);
   writeConfig(1, {"/search/", "/orders/"});
 }
 
@@ -55,9 +55,9 @@
   std::filesystem::remove_all(folder_);
 }
 
-void RouterCluster::callOperator(HttpRequest request) {
+void RouterCluster::sendOperatorRequest(HttpRequest request) {
   bool answered = false;
-  operator_->send(std::move(request), seconds(5), [&answered](const HttpExchange& exchange) {
+  operator_client_->send(std::move(request), seconds(5), [&answered](const HttpExchange& exchange) {
     EXPECT_EQ(exchange.status, HttpExchangeStatus::Complete);
     answered = true;
   });
@@ -65,26 +65,28 @@
 }
 
 void RouterCluster::setStoreMode(const std::string& mode) {
-  callOperator({"POST", "/faults", {}, json{{"mode", mode}}.dump()});
+  sendOperatorRequest({"POST", "/faults", {}, json{{"mode", mode}}.dump()});
 }
 
-void RouterCluster::backUpStore() { callOperator({"POST", "/faults", {}, json{{"keep_copy", true}}.dump()}); }
+void RouterCluster::backUpStore() { sendOperatorRequest({"POST", "/faults", {}, json{{"keep_copy", true}}.dump()}); }
 
-void RouterCluster::restoreStore() { callOperator({"POST", "/faults", {}, json{{"restore_copy", true}}.dump()}); }
+void RouterCluster::restoreStore() {
+  sendOperatorRequest({"POST", "/faults", {}, json{{"restore_copy", true}}.dump()});
+}
 
 void RouterCluster::evacuate(const std::string& zone, bool evacuated) {
   if (evacuated) {
     const json object = {{"metadata", {{"name", zone}}}, {"spec", json::object()}};
-    callOperator({"POST", "/objects/evacuations", {}, object.dump()});
+    sendOperatorRequest({"POST", "/objects/evacuations", {}, object.dump()});
   } else {
-    callOperator({"DELETE", "/objects/evacuations/" + zone, {}, {}});
+    sendOperatorRequest({"DELETE", "/objects/evacuations/" + zone, {}, {}});
   }
 }
 
 void RouterCluster::writeConfig(std::uint32_t version, const std::vector<std::string>& routes) {
   json entries = json::array();
   for (const std::string& prefix : routes) {
-    entries.push_back(route(prefix));
+    entries.push_back(routeJson(prefix));
   }
   const json spec = {{"version", std::to_string(version)},
                      {"routes", std::move(entries)},
@@ -94,7 +96,8 @@
                      {"limits", json::object()}};
   const json object = {{"metadata", {{"name", "main"}}}, {"spec", spec}};
   const bool exists = std::exchange(config_exists_, true);
-  callOperator({exists ? "PUT" : "POST", exists ? "/objects/config/main" : "/objects/config", {}, object.dump()});
+  sendOperatorRequest(
+      {exists ? "PUT" : "POST", exists ? "/objects/config/main" : "/objects/config", {}, object.dump()});
 }
 
 bool RouterCluster::runUntil(const std::function<bool()>& done) { return loop_.runUntil(done, kTestTimeout); }
@@ -112,19 +115,19 @@
   server.request_duration = request_duration;
   server.log_file = (folder_ / (name + ".log")).string();
   server.fatal_path = fatal_path_;
-  server.on_fatal_begin = [this] { ++fatal_begun_; };
+  server.on_fatal_begin = [this] { ++fatal_requests_started_; };
   server.on_fatal_end = [this, &node] {
     loop_.post([this, &node] {
-      ++servers_ended_;
+      ++server_crashes_;
       restartServer(node);
     });
   };
-  server.id = keeps_ids_ ? "i-of-" + name : "";
+  server.id = keep_server_ids_ ? "i-of-" + name : "";
   startServer(node);
   RouterSettings& settings = node.settings;
   settings.node = NodeName(name);
   settings.zone = ZoneName(zone_.empty() ? "z" : zone_);
-  settings.evacuation.time_limit = zone_.empty() ? Duration::zero() : kEvacuatedWithin;
+  settings.evacuation.time_limit = zone_.empty() ? Duration::zero() : kEvacuationTimeLimit;
   settings.service = ServiceName(service);
   settings.clients_listen = kAnyLoopbackPort;
   settings.peers_listen = kAnyLoopbackPort;
@@ -184,7 +187,7 @@
 }
 
 std::shared_ptr<ClientResponse> RouterCluster::send(Node& node, const std::string& target, const std::string& key) {
-  auto answer = std::make_shared<ClientResponse>();
+  auto outcome = std::make_shared<ClientResponse>();
   HttpRequest request{
       "POST",
       target,
@@ -195,36 +198,36 @@
   if (!key.empty()) {
     request.headers.push_back({"X-Shard-Key", key});
   }
-  node.client->send(std::move(request), kClientTimeout, [answer](HttpExchange exchange) {
-    answer->completed = true;
-    answer->status = exchange.status;
-    answer->response = std::move(exchange.response);
+  node.client->send(std::move(request), kClientTimeout, [outcome](HttpExchange exchange) {
+    outcome->completed = true;
+    outcome->status = exchange.status;
+    outcome->response = std::move(exchange.response);
   });
-  return answer;
+  return outcome;
 }
 
 ClientResponse RouterCluster::sendAndWait(Node& node, const std::string& target, const std::string& key) {
-  const auto answer = send(node, target, key);
-  EXPECT_TRUE(runUntil([&answer] { return answer->completed; }));
-  return *answer;
+  const auto outcome = send(node, target, key);
+  EXPECT_TRUE(runUntil([&outcome] { return outcome->completed; }));
+  return *outcome;
 }
 
 std::shared_ptr<const bool> RouterCluster::timerFlag(Duration time) {
-  auto over = std::make_shared<bool>(false);
-  loop_.runAfter(time, [over] { *over = true; });
-  return over;
+  auto elapsed = std::make_shared<bool>(false);
+  loop_.runAfter(time, [elapsed] { *elapsed = true; });
+  return elapsed;
 }
 
-void RouterCluster::runFor(Duration time) {
-  const auto over = timerFlag(time);
-  runUntil([&over] { return *over; });
+void RouterCluster::runFor(Duration duration) {
+  const auto elapsed = timerFlag(duration);
+  runUntil([&elapsed] { return *elapsed; });
 }
 
 bool RouterCluster::allNodesRespond(const std::string& target, int status, Duration limit) {
-  const auto over = timerFlag(limit);
+  const auto elapsed = timerFlag(limit);
   for (const auto& node : nodes_) {
     while (sendAndWait(*node, target).response.status != status) {
-      if (*over) {
+      if (*elapsed) {
         return false;
       }
       runFor(milliseconds(20));
--- a/test/support/router_cluster.h
+++ b/test/support/router_cluster.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Routers, servers and the store in one process, on one event loop and over loopback: whole paths.
+/// Routers, servers and the store in one process and on one event loop, connected over loopback, for end-to-end tests.
 
 #include <filesystem>
 #include <memory>
@@ -19,7 +19,7 @@
 
 namespace shedlever::test {
 
-/// A request's end as its client saw it.
+/// The outcome of a request as its client sees it.
 struct ClientResponse {
   bool completed = false;
   HttpExchangeStatus status = HttpExchangeStatus::NeverSent;
@@ -37,73 +37,82 @@
     bool stopped = false;
   };
 
-  /// @param grants how the servers of "search" take their keys.
+  /// @param grants how the servers of "search" receive their keys.
   explicit RouterCluster(GrantDelivery grants = GrantDelivery::Request);
 
-  /// Zone of nodes that are added from now on; with it operators may evacuate zones.
+  /// Sets the zone of nodes that are added later, and allows their zones to be evacuated.
   void setZone(const std::string& zone) { zone_ = zone; }
-  /// Asks that the servers of the zone get nothing, or takes that back.
+  /// Starts or ends the evacuation of a zone, as an operator does.
   void evacuate(const std::string& zone, bool evacuated);
-  /// Of routers that are added from now on.
+  /// Sets the stop grace period of routers that are added later.
   void setStopGrace(Duration grace) { grace_ = grace; }
-  /// How long clients say that they wait, of requests that are sent from now on.
+  /// Sets the deadline that clients state in requests sent later.
   void setClientDeadline(Duration deadline) { client_deadline_ = deadline; }
 
-  /// Path of a request under which servers end; each is back at once, as a new life. Of servers added from now on.
+  /// Sets the path of requests that crash servers, for servers that are added later. A crashed server is replaced
+  /// immediately by a new instance.
   void setFatalPath(const std::string& path) { fatal_path_ = path; }
-  /// Whether servers keep their ids when they start again. Of servers added from now on.
-  void setKeepServerIds(bool keeps) { keeps_ids_ = keeps; }
-  /// The server beside a node ends, and starts again at once.
+  /// Sets whether restarted servers keep their ids, for servers that are added later.
+  void setKeepServerIds(bool keep) { keep_server_ids_ = keep; }
+  /// Destroys the node's server and immediately starts it again.
   void restartServer(Node& node);
-  /// @return how many such requests have begun at a server, and how many servers have ended.
-  std::size_t fatalRequestsStarted() const { return fatal_begun_; }
-  std::size_t serverCrashes() const { return servers_ended_; }
-  /// The process beside a server ends as by a kill, and another one starts in its place.
+  /// @return the number of fatal requests that a server has begun.
+  std::size_t fatalRequestsStarted() const { return fatal_requests_started_; }
+  /// @return the number of servers that fatal requests have crashed.
+  std::size_t serverCrashes() const { return server_crashes_; }
+  /// Destroys the node's router without a graceful stop and starts another one in its place.
   void restartRouter(Node& node);
 
-  /// Sets the store's faults. @param mode as the store's stand-in takes it: "up", "silent", ...
+  /// Sets the fault mode of the store.
+  /// @param mode a mode of the store's stand-in, such as "up" or "silent".
   void setStoreMode(const std::string& mode);
-  /// The store keeps a copy of all that it holds.
+  /// Makes the store save a backup of its contents.
   void backUpStore();
-  /// The store goes back to the copy: what was written since is gone.
+  /// Makes the store restore the backup; later writes are lost.
   void restoreStore();
-  /// Writes a configuration. @param routes by path prefix: "/search/", "/orders/".
+  /// Writes a configuration.
+  /// @param routes path prefixes, such as "/search/" and "/orders/".
   void writeConfig(std::uint32_t version, const std::vector<std::string>& routes);
   ~RouterCluster();
   RouterCluster(const RouterCluster&) = delete;
   RouterCluster& operator=(const RouterCluster&) = delete;
 
-  /// Starts a server and the router beside it. Services: "search", divided by key, and "orders", once-only.
-  /// @param link_bytes_per_second what the machine's link carries; 0: no limit.
+  /// Starts a server and its router.
+  /// @param service "search", which is divided by key, or "orders", whose requests are executed at most once.
+  /// @param link_bytes_per_second bandwidth of the node's link; 0 means no limit.
   Node& addNode(const std::string& service, Duration work = std::chrono::milliseconds(5),
                 double link_bytes_per_second = 0);
 
-  /// Runs the loop until `done`.
+  /// Runs the loop until `done` or the test timeout.
+  /// @return whether `done` held.
   bool runUntil(const std::function<bool()>& done);
 
-  /// @return a flag that is set after that time; whoever asked for it may be gone by then.
+  /// @return a flag that becomes true after the time; the caller may discard it earlier.
   std::shared_ptr<const bool> timerFlag(Duration time);
 
-  /// Runs the loop for a while.
-  void runFor(Duration time);
+  /// Runs the loop for the duration.
+  void runFor(Duration duration);
 
-  /// Runs until every node answers a request for every key of a sample.
+  /// Runs until every node has served a request for every key of a sample.
+  /// @return false if a node did not do so within its tries.
   bool runUntilServing();
 
-  /// Sends a request to a node as a client does; the answer comes while the loop runs.
+  /// Sends a request to a node as a client does.
+  /// @return the outcome, which is filled in while the loop runs.
   std::shared_ptr<ClientResponse> send(Node& node, const std::string& target, const std::string& key = {});
 
-  /// As `send`, and runs until it has ended.
+  /// Sends a request and runs the loop until it has completed.
   ClientResponse sendAndWait(Node& node, const std::string& target, const std::string& key = {});
 
-  /// @return whether all nodes answer a request with this status before the time is over.
+  /// Repeats a request at each node until the node responds with this status.
+  /// @return whether all nodes did so within the time limit.
   bool allNodesRespond(const std::string& target, int status, Duration limit);
 
   EventLoop& loop() { return loop_; }
   std::vector<std::unique_ptr<Node>>& nodes() { return nodes_; }
 
  private:
-  void callOperator(HttpRequest request);
+  void sendOperatorRequest(HttpRequest request);
   void startServer(Node& node);
   void startRouter(Node& node);
 
@@ -115,7 +124,7 @@
   platform::ReportProtocolImpl reports_;
   platform::ConfigProtocolImpl config_;
   std::unique_ptr<standins::MetadataServer> store_;
-  std::unique_ptr<HttpClient> operator_;
+  std::unique_ptr<HttpClient> operator_client_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::uint64_t last_request_ = 0;
   std::string zone_;
@@ -123,9 +132,9 @@
   Duration client_deadline_ = std::chrono::seconds(15);
   bool config_exists_ = false;
   std::string fatal_path_;
-  bool keeps_ids_ = false;
-  std::size_t fatal_begun_ = 0;
-  std::size_t servers_ended_ = 0;
+  bool keep_server_ids_ = false;
+  std::size_t fatal_requests_started_ = 0;
+  std::size_t server_crashes_ = 0;
 };
 
 }  // namespace shedlever::test
--- a/test/support/scripted_server.cc
+++ b/test/support/scripted_server.cc
@@ -23,11 +23,11 @@
   if (!stream_) {
     return;
   }
-  // Small answers fit the socket's buffer, so they can be written at once.
+  // A small response fits into the socket's buffer, so it can be written immediately.
   evbuffer* output = bufferevent_get_output(stream_.get());
   evbuffer_unfreeze(output, 1);
   evbuffer_write(output, bufferevent_getfd(stream_.get()));
-  // libevent closes in its next round only.
+  // libevent closes the socket only in its next iteration.
   shutdown(bufferevent_getfd(stream_.get()), SHUT_RDWR);
   stream_.reset();
 }
@@ -36,12 +36,12 @@
   if (!stream_) {
     return;
   }
-  const linger at_once{1, 0};
-  setsockopt(bufferevent_getfd(stream_.get()), SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+  const linger reset_on_close{1, 0};
+  setsockopt(bufferevent_getfd(stream_.get()), SOL_SOCKET, SO_LINGER, &reset_on_close, sizeof(reset_on_close));
   stream_.reset();
 }
 
-struct ScriptedServer::Slot {
+struct ScriptedServer::Accepted {
   ScriptedServer* server;
   ScriptedConnection connection;
 };
@@ -61,18 +61,18 @@
 void ScriptedServer::accept(evutil_socket_t socket) {
   BufferEventHandle stream(bufferevent_socket_new(loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE));
   bufferevent* raw = stream.get();
-  connections_.push_back(std::make_unique<Slot>(Slot{this, ScriptedConnection(std::move(stream))}));
-  const auto arrived = [](bufferevent* source, void* argument) {
-    auto* slot = static_cast<Slot*>(argument);
-    slot->connection.received += takeAll(bufferevent_get_input(source));
-    slot->server->script_(slot->connection);
+  connections_.push_back(std::make_unique<Accepted>(Accepted{this, ScriptedConnection(std::move(stream))}));
+  const auto on_read = [](bufferevent* source, void* argument) {
+    auto* accepted = static_cast<Accepted*>(argument);
+    accepted->connection.received += takeAll(bufferevent_get_input(source));
+    accepted->server->script_(accepted->connection);
   };
-  const auto event = [](bufferevent*, short, void* argument) {
-    auto* slot = static_cast<Slot*>(argument);
-    slot->connection.stream_.reset();
-    ++slot->server->closed_by_peer_;
+  const auto on_event = [](bufferevent*, short, void* argument) {
+    auto* accepted = static_cast<Accepted*>(argument);
+    accepted->connection.stream_.reset();
+    ++accepted->server->closed_by_peer_;
   };
-  bufferevent_setcb(raw, arrived, nullptr, event, connections_.back().get());
+  bufferevent_setcb(raw, on_read, nullptr, on_event, connections_.back().get());
   bufferevent_enable(raw, EV_READ | EV_WRITE);
 }
 
--- a/test/support/scripted_server.h
+++ b/test/support/scripted_server.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A TCP server whose every word and every break the test decides.
+/// A TCP server whose writes and disconnections the test controls.
 
 #include <functional>
 #include <list>
@@ -13,12 +13,13 @@
 
 namespace shedlever::test {
 
-/// Longest wait of a test for an event that must come. Not a timing assertion: a passing test never waits for it.
+/// Maximum time that a test waits for an expected event. A passing test does not wait this long, so this asserts
+/// nothing about timing.
 inline constexpr Duration kTestTimeout = std::chrono::seconds(30);
 
 inline const Endpoint kAnyLoopbackPort{"127.0.0.1", 0};
 
-/// @return an endpoint on which nobody listens.
+/// @return an endpoint on which no process listens.
 Endpoint closedEndpoint(EventLoop& loop);
 
 /// One accepted connection.
@@ -27,9 +28,9 @@
   explicit ScriptedConnection(BufferEventHandle stream) : stream_(std::move(stream)) {}
 
   void write(const std::string& bytes);
-  /// Closes once all is written.
+  /// Writes the remaining output and closes the connection.
   void closeAfterWriting();
-  /// Breaks the connection with a reset; what was written and not sent is lost.
+  /// Closes the connection with a TCP reset; output that is not sent yet is lost.
   void reset();
   bool open() const { return stream_ != nullptr; }
 
@@ -43,7 +44,7 @@
 
 class ScriptedServer {
  public:
-  /// Runs at each arrival of bytes.
+  /// Runs each time that bytes have arrived.
   using Script = std::function<void(ScriptedConnection&)>;
 
   ScriptedServer(EventLoop& loop, Script script);
@@ -51,27 +52,27 @@
 
   const Endpoint& endpoint() const { return listener_->endpoint(); }
 
-  /// @return connections accepted since the start.
+  /// @return the number of connections accepted since the start.
   std::size_t accepted() const { return connections_.size(); }
-  /// @return connections that the other end has closed.
+  /// @return the number of connections that the other end has closed.
   std::size_t closedByPeer() const { return closed_by_peer_; }
   ScriptedConnection& connection(std::size_t index);
 
  private:
-  struct Slot;
+  struct Accepted;
   void accept(evutil_socket_t socket);
 
   EventLoop& loop_;
   Script script_;
-  std::list<std::unique_ptr<Slot>> connections_;
+  std::list<std::unique_ptr<Accepted>> connections_;
   std::size_t closed_by_peer_ = 0;
   std::unique_ptr<TcpListener> listener_;
 };
 
-/// @return a whole HTTP answer.
+/// @return the bytes of a complete HTTP response.
 std::string httpResponseText(int status, const std::string& headers, const std::string& body);
 
-/// @return whether the text holds a whole HTTP request with a Content-Length or none.
+/// @return whether the text contains a complete HTTP request; without a Content-Length, its body is taken as empty.
 bool isCompleteRequest(const std::string& text);
 
 }  // namespace shedlever::test
--- a/test/support/scripted_store.h
+++ b/test/support/scripted_store.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A metadata store whose answers a test writes, for code that runs on a real event loop.
+/// A metadata store whose responses the test supplies, for code that runs on a real event loop.
 
 #include <deque>
 #include <string>
@@ -10,7 +10,7 @@
 
 namespace shedlever::test {
 
-/// Keeps each call until the test answers it.
+/// Records each call; the test responds by calling its `done`.
 class ScriptedStore final : public MetadataStore {
  public:
   template <class Callback>
@@ -45,15 +45,15 @@
 
   StoreEpoch epoch() const override { return current_epoch; }
 
-  /// As heard of.
+  /// Returned by `epoch()`.
   StoreEpoch current_epoch = 0;
-  /// Calls so far, the oldest first. A test answers one by calling its `done`.
+  /// Recorded calls, oldest first.
   std::deque<Call<AnswerCallback>> gets;
   std::deque<Call<AnswerCallback>> creates;
   std::deque<Call<AnswerCallback>> replaces;
   std::deque<Call<AnswerCallback>> removes;
   std::deque<Call<ListCallback>> lists;
-  /// As asked for by each of `lists`.
+  /// Requested freshness of each call in `lists`.
   std::deque<ListFreshness> freshness_of_lists;
   std::deque<Call<WatchCallback>> watches;
   std::deque<Call<WatchCallback>> checks;
--- a/test/support/set_clock.h
+++ b/test/support/set_clock.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A clock that stands still until the test sets it on.
+/// A clock that the test advances.
 
 #include "shedlever/time.h"
 
--- a/test/support/timeline.h
+++ b/test/support/timeline.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Virtual time and what is due later in it.
+/// Virtual time with scheduled events.
 
 #include <functional>
 #include <map>
@@ -10,14 +10,14 @@
 
 namespace shedlever::test {
 
-/// Events run in the order of their times, equal ones in the order in which they were put.
+/// Events run in the order of their times; events of equal times run in the order in which they were scheduled.
 class Timeline {
  public:
   TimePoint now() const { return now_; }
 
   void after(Duration delay, std::function<void()> action) { events_.emplace(now_ + delay, std::move(action)); }
 
-  /// Goes on to a time and runs all that is due by then.
+  /// Advances to a time and runs all events that are due by then.
   void advanceTo(TimePoint time) {
     while (!events_.empty() && events_.begin()->first <= time) {
       auto event = events_.extract(events_.begin());
