--- a/soak/store_restores.h
+++ b/soak/store_restores.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A store that is away for a moment, again and again, and comes back from a copy of an earlier state.
+/// Repeatedly interrupts the store and restores it from a backup of an earlier state.
 
 #include <cstdint>
 #include <functional>
@@ -13,38 +13,38 @@
 
 namespace shedlever::soak {
 
-/// Copies are one to six seconds old when the store goes back to them; some are gone back to twice within a second.
+/// Backups are one to six seconds old when they are restored; some are restored twice within a second.
 class StoreRestores {
  public:
-  struct Ports {
-    /// Sets the store's faults.
+  struct Callbacks {
+    /// Sends the body to the fault interface of the store.
     std::function<void(const std::string& body)> set_faults;
-    /// Operators write the newest configuration again.
-    std::function<void()> write_again;
-    /// For the list of faults.
-    std::function<void(const std::string& what)> note;
+    /// Writes the newest configuration again, as operators do after a restore.
+    std::function<void()> rewrite_config;
+    /// Appends a line to the log of injected faults.
+    std::function<void(const std::string& what)> log_fault;
   };
 
-  StoreRestores(EventLoop& loop, std::uint64_t seed, Ports ports);
+  StoreRestores(EventLoop& loop, std::uint64_t seed, Callbacks callbacks);
   ~StoreRestores() { *alive_ = false; }
   StoreRestores(const StoreRestores&) = delete;
   StoreRestores& operator=(const StoreRestores&) = delete;
 
-  void start() { keepCopy(); }
-  /// Nothing is begun any more.
+  void start() { saveBackup(); }
+  /// Starts no further backups or outages; an outage in progress still ends with a restore.
   void stop() { stopped_ = true; }
-  /// @return how often the store has come back.
+  /// @return the number of restores.
   std::size_t count() const { return count_; }
 
  private:
-  void keepCopy();
-  void goAway();
-  void comeBack(bool once_more);
-  void after(std::uint64_t least_ms, std::uint64_t most_ms, std::function<void()> step);
+  void saveBackup();
+  void startOutage();
+  void restoreBackup(bool restore_twice);
+  void runAfterRandomDelay(std::uint64_t min_ms, std::uint64_t max_ms, std::function<void()> step);
 
   EventLoop& loop_;
   std::mt19937_64 random_;
-  Ports ports_;
+  Callbacks callbacks_;
   std::size_t count_ = 0;
   bool stopped_ = false;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
--- a/test/support/ownership_expectations.h
+++ b/test/support/ownership_expectations.h
@@ -16,7 +16,7 @@
   }
 }
 
-/// Ends all faults, restarts all processes and servers, and expects every key to be served after 30 s.
+/// Ends all faults, restarts all processes and servers, and expects that every sampled key to be after 30 seconds.
 inline void expectRecovery(OwnershipWorld& world, std::size_t nodes) {
   expectNoViolations(world);
   for (std::size_t node = 0; node < nodes; ++node) {
--- a/test/support/set_clock.h
+++ b/test/support/set_clock.h
@@ -1,13 +1,13 @@
 #pragma once
 
 /// @file
-/// A clock that stands still until the test sets it on.
+/// A clock that the test advances.
 
 #include "shedlever/time.h"
 
 namespace shedlever::test {
 
-class SetClock final : public Clock {
+class ManualClock final : public Clock {
  public:
   TimePoint now() const override { return now_; }
   void advance(Duration span) { now_ += span; }
