--- a/demo/demo_main.cc
+++ b/demo/demo_main.cc
@@ -41,7 +41,7 @@
   config.services = {{ServiceName("records"), "/records/", false}, {ServiceName("bookings"), "/bookings/", true}};
   config.tenants = {{TenantName("amber"), "demo-credential-amber", 2}, {TenantName("blue"), "demo-credential-blue", 1}};
   config.rate = kRate;
-  config.length = kLoadLength;
+  config.duration = kLoadLength;
   config.seed = deployment.config().seed;
   return config;
 }
@@ -60,11 +60,11 @@
 };
 
 /// @return idempotency keys under which more than one request ran.
-std::size_t doubleRuns(const std::vector<load::RequestRecord>& records, const check::RunChecks& checks) {
+std::size_t doubleRuns(const std::vector<load::RequestRecord>& records, const check::HistoryChecker& checks) {
   std::map<std::string, std::size_t> runs;
   for (const load::RequestRecord& record : records) {
     if (!record.idempotency_key.empty()) {
-      runs[record.idempotency_key.value] += checks.runsOf(record.id.value);
+      runs[record.idempotency_key.value] += checks.countExecutions(record.id.value);
     }
   }
   std::size_t twice = 0;
@@ -74,26 +74,26 @@
   return twice;
 }
 
-std::size_t notRunButRan(const std::vector<load::RequestRecord>& records, const check::RunChecks& checks) {
+std::size_t notRunButRan(const std::vector<load::RequestRecord>& records, const check::HistoryChecker& checks) {
   std::size_t wrong = 0;
   for (const load::RequestRecord& record : records) {
     const bool told = record.outcome == load::CallerOutcome::NotRun && !record.id.empty();
-    wrong += told && checks.runsOf(record.id.value) > 0 ? 1 : 0;
+    wrong += told && checks.countExecutions(record.id.value) > 0 ? 1 : 0;
   }
   return wrong;
 }
 
 bool printSummary(const std::vector<load::RequestRecord>& records, soak::LocalDeployment& deployment) {
-  check::RunChecks checks;
+  check::HistoryChecker checks;
   for (const auto& node : deployment.nodes()) {
     checks.readLog(node->server_log);
   }
-  const load::LoadReport report = load::makeReport(records, load::kSlowAnswer);
+  const load::LoadReport report = load::makeReport(records, load::kSlowAnswerThreshold);
   std::cout << "\n"
             << load::reportText(report) << "\nlongest unavailable time of a key, ms: proved "
-            << milliseconds(report.unavailable.proved_longest) << ", at most "
-            << milliseconds(report.unavailable.longest) << "\nruns on servers " << checks.counts().runs
-            << "\n\nwhat must hold\n";
+            << milliseconds(report.unavailable.longest_lower_bound) << ", at most "
+            << milliseconds(report.unavailable.longest_upper_bound) << "\nruns on servers "
+            << checks.counts().executions << "\n\nwhat must hold\n";
   Rules rules;
   for (const std::string& sentence : checks.violations()) {
     std::cout << "  " << sentence << "\n";
--- a/soak/fatal_requests.cc
+++ b/soak/fatal_requests.cc
@@ -39,10 +39,10 @@
   }
 }
 
-std::vector<std::string> FatalRequests::violations(const check::RunChecks& checks) const {
+std::vector<std::string> FatalRequests::violations(const check::HistoryChecker& checks) const {
   std::vector<std::string> broken;
   for (const char* name : {kInTurn, kAtOnce}) {
-    const std::size_t lives = checks.livesThatBegan(name);
+    const std::size_t lives = checks.countInstances(name);
     if (lives == 0 && rounds_ > kRoundsInTurn) {
       broken.push_back(std::string("the fatal request ") + name + " reached no server");
     }
--- a/soak/fatal_requests.h
+++ b/soak/fatal_requests.h
@@ -27,7 +27,7 @@
   void sendRound();
 
   /// @return what was broken: a request at which more lives of servers ended than may.
-  std::vector<std::string> violations(const check::RunChecks& checks) const;
+  std::vector<std::string> violations(const check::HistoryChecker& checks) const;
 
  private:
   void send(std::size_t client, const std::string& name, const std::string& key);
--- a/soak/soak_main.cc
+++ b/soak/soak_main.cc
@@ -56,8 +56,8 @@
     const check::CheckCounts counts = world.checks().counts();
     std::cout << "seed " << config.seed << ": " << (broken.empty() ? "kept" : "BROKEN")
               << " requests=" << counts.requests << " served=" << counts.served << " refused=" << counts.refused
-              << " unanswered=" << counts.unanswered << " runs=" << counts.runs << " grants=" << counts.grants
-              << std::endl;
+              << " unanswered=" << counts.unanswered << " runs=" << counts.executions
+              << " grants=" << counts.acquisitions << std::endl;
     for (const std::string& sentence : broken) {
       std::cout << "  " << sentence << "\n";
     }
--- a/soak/soak_world.cc
+++ b/soak/soak_world.cc
@@ -154,7 +154,7 @@
   check::ClientRecord record;
   record.id = "r" + std::to_string(++last_request_);
   const std::uint64_t kind = below(3);
-  record.once_only = kind != 0;
+  record.at_most_once = kind != 0;
   HttpRequest request;
   request.method = kind == 0 ? "GET" : "POST";
   request.target = kind == 0 ? "/search/x" : (kind == 1 ? "/orders/x" : "/keyed/x");
@@ -174,7 +174,7 @@
       ++counted_;
       counted_served_ += record.status == kOk ? 1 : 0;
     }
-    checks_.onClient(record);
+    checks_.addClientRecord(record);
   });
 }
 
@@ -458,7 +458,7 @@
   }
   found.insert(found.end(), probe_.broken().begin(), probe_.broken().end());
   if (config_.planned_only) {
-    const std::vector<std::string> cut = checks_.cutRequests();
+    const std::vector<std::string> cut = checks_.interruptedRequests();
     found.insert(found.end(), cut.begin(), cut.end());
     if (probe_.seenInForce() == 0) {
       found.push_back("no changed configuration was seen in force");
--- a/soak/soak_world.h
+++ b/soak/soak_world.h
@@ -47,7 +47,7 @@
   /// @return what was broken.
   std::vector<std::string> run();
 
-  const check::RunChecks& checks() const { return checks_; }
+  const check::HistoryChecker& checks() const { return checks_; }
 
  private:
   void startAll();
@@ -84,7 +84,7 @@
   EventLoop& loop_;
   SoakConfig config_;
   std::mt19937_64 random_;
-  check::RunChecks checks_;
+  check::HistoryChecker checks_;
   std::vector<std::string> broken_;
   LocalDeployment deployment_;
   /// One to each node.
--- a/source/lab/check/check_command.cc
+++ b/source/lab/check/check_command.cc
@@ -13,7 +13,7 @@
     std::cout << "usage: shedlever-lab check FILE...   the logs of all servers of one run\n";
     return arguments.empty() ? EXIT_FAILURE : EXIT_SUCCESS;
   }
-  RunChecks checks;
+  HistoryChecker checks;
   for (const std::string& path : arguments) {
     if (!std::filesystem::is_regular_file(path)) {
       std::cerr << path << ": can't be read\n";
@@ -26,7 +26,8 @@
     std::cout << sentence << "\n";
   }
   const CheckCounts counts = checks.counts();
-  std::cout << counts.runs << " runs, " << counts.grants << " grants, " << broken.size() << " broken promises\n";
+  std::cout << counts.executions << " runs, " << counts.acquisitions << " grants, " << broken.size()
+            << " broken promises\n";
   return broken.empty() ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
--- a/source/lab/check/run_checks.cc
+++ b/source/lab/check/run_checks.cc
@@ -13,11 +13,11 @@
 constexpr int kTooMany = 429;
 constexpr int kUnavailable = 503;
 /// Two lines of different processes closer than this have no order.
-constexpr std::int64_t kSameTime = 2000;
+constexpr std::int64_t kUnorderedWindowMicroseconds = 2000;
 
 }  // namespace
 
-void RunChecks::readLog(const std::string& path) {
+void HistoryChecker::readLog(const std::string& path) {
   std::ifstream file(path);
   std::string line;
   while (std::getline(file, line)) {
@@ -27,30 +27,30 @@
     std::string event;
     words >> at >> instance >> event;
     if (event == "begin") {
-      Run run{at, instance, {}, -1, 0};
+      Execution run{at, instance, {}, -1, 0};
       words >> run.id >> run.key >> run.token;
-      runs_.push_back(run);
+      executions_.push_back(run);
     } else if (event == "take") {
-      Take take{at, instance, 0, 0, 0};
+      Acquisition take{at, instance, 0, 0, 0};
       words >> take.first >> take.last >> take.token;
-      takes_.push_back(take);
+      acquisitions_.push_back(take);
     }
   }
 }
 
-void RunChecks::checkRequests(std::vector<std::string>& broken) const {
+void HistoryChecker::checkRequests(std::vector<std::string>& broken) const {
   std::map<std::string, int> times;
-  for (const Run& run : runs_) {
+  for (const Execution& run : executions_) {
     ++times[run.id];
   }
   for (const ClientRecord& record : records_) {
     const auto found = times.find(record.id);
     const int ran = found == times.end() ? 0 : found->second;
-    if (record.once_only && ran > 1) {
+    if (record.at_most_once && ran > 1) {
       broken.push_back("once-only request " + record.id + " ran " + std::to_string(ran) + " times");
     }
     const bool refused = record.status == kUnavailable || record.status == kTooMany;
-    if (record.once_only && refused && ran > 0) {
+    if (record.at_most_once && refused && ran > 0) {
       broken.push_back("request " + record.id + " was refused as not run, and ran");
     }
     if (record.status == kOk && (ran == 0 || record.body != "answer to " + record.id)) {
@@ -59,11 +59,11 @@
   }
 }
 
-void RunChecks::checkKeys(std::vector<std::string>& broken) const {
-  std::vector<Run> runs = runs_;
-  std::sort(runs.begin(), runs.end(), [](const Run& left, const Run& right) { return left.at < right.at; });
-  std::map<int, Run> newest;
-  for (const Run& run : runs) {
+void HistoryChecker::checkTokenOrder(std::vector<std::string>& broken) const {
+  std::vector<Execution> runs = executions_;
+  std::sort(runs.begin(), runs.end(), [](const Execution& left, const Execution& right) { return left.at < right.at; });
+  std::map<int, Execution> newest;
+  for (const Execution& run : runs) {
     if (run.key < 0) {
       continue;
     }
@@ -71,7 +71,7 @@
     if (is_first) {
       continue;
     }
-    if (run.token < place->second.token && run.at - place->second.at > kSameTime) {
+    if (run.token < place->second.token && run.at - place->second.at > kUnorderedWindowMicroseconds) {
       broken.push_back("key " + std::to_string(run.key) + ": " + run.instance + " ran " + run.id + " with token " +
                        std::to_string(run.token) + " after " + place->second.instance + " had run with " +
                        std::to_string(place->second.token));
@@ -82,13 +82,14 @@
   }
 }
 
-void RunChecks::checkTakes(std::vector<std::string>& broken) const {
-  std::vector<Take> takes = takes_;
-  std::sort(takes.begin(), takes.end(), [](const Take& left, const Take& right) { return left.at < right.at; });
+void HistoryChecker::checkAcquisitions(std::vector<std::string>& broken) const {
+  std::vector<Acquisition> takes = acquisitions_;
+  std::sort(takes.begin(), takes.end(),
+            [](const Acquisition& left, const Acquisition& right) { return left.at < right.at; });
   constexpr int kKeys = 65536;
   std::vector<std::uint64_t> highest(kKeys, 0);
   std::vector<std::string> holder(kKeys);
-  for (const Take& take : takes) {
+  for (const Acquisition& take : takes) {
     bool bad = false;
     for (int key = take.first; key <= take.last; ++key) {
       bad = bad || (take.token <= highest[key] && holder[key] != take.instance);
@@ -104,17 +105,17 @@
   }
 }
 
-std::vector<std::string> RunChecks::violations() const {
+std::vector<std::string> HistoryChecker::violations() const {
   std::vector<std::string> broken;
   checkRequests(broken);
-  checkKeys(broken);
-  checkTakes(broken);
+  checkTokenOrder(broken);
+  checkAcquisitions(broken);
   return broken;
 }
 
-std::vector<std::string> RunChecks::cutRequests() const {
+std::vector<std::string> HistoryChecker::interruptedRequests() const {
   std::set<std::string> begun;
-  for (const Run& run : runs_) {
+  for (const Execution& run : executions_) {
     begun.insert(run.id);
   }
   std::vector<std::string> cut;
@@ -127,7 +128,7 @@
   return cut;
 }
 
-CheckCounts RunChecks::counts() const {
+CheckCounts HistoryChecker::counts() const {
   CheckCounts counts;
   counts.requests = records_.size();
   for (const ClientRecord& record : records_) {
@@ -135,19 +136,19 @@
     counts.refused += record.status == kUnavailable ? 1 : 0;
     counts.unanswered += record.status == 0 ? 1 : 0;
   }
-  counts.runs = runs_.size();
-  counts.grants = takes_.size();
+  counts.executions = executions_.size();
+  counts.acquisitions = acquisitions_.size();
   return counts;
 }
 
-std::size_t RunChecks::runsOf(const std::string& id) const {
+std::size_t HistoryChecker::countExecutions(const std::string& id) const {
   return static_cast<std::size_t>(
-      std::count_if(runs_.begin(), runs_.end(), [&id](const Run& run) { return run.id == id; }));
+      std::count_if(executions_.begin(), executions_.end(), [&id](const Execution& run) { return run.id == id; }));
 }
 
-std::size_t RunChecks::livesThatBegan(const std::string& id_prefix) const {
+std::size_t HistoryChecker::countInstances(const std::string& id_prefix) const {
   std::set<std::string> lives;
-  for (const Run& run : runs_) {
+  for (const Execution& run : executions_) {
     if (run.id.starts_with(id_prefix)) {
       lives.insert(run.instance);
     }
--- a/source/lab/check/run_checks.h
+++ b/source/lab/check/run_checks.h
@@ -15,7 +15,7 @@
 /// How a client's request ended, as the client saw it.
 struct ClientRecord {
   std::string id;
-  bool once_only = false;
+  bool at_most_once = false;
   /// 0: no answer.
   int status = 0;
   std::string body;
@@ -29,13 +29,13 @@
   std::size_t served = 0;
   std::size_t refused = 0;
   std::size_t unanswered = 0;
-  std::size_t runs = 0;
-  std::size_t grants = 0;
+  std::size_t executions = 0;
+  std::size_t acquisitions = 0;
 };
 
-class RunChecks {
+class HistoryChecker {
  public:
-  void onClient(const ClientRecord& record) { records_.push_back(record); }
+  void addClientRecord(const ClientRecord& record) { records_.push_back(record); }
 
   /// Reads a server's log: lines "microseconds instance event ...".
   void readLog(const std::string& path);
@@ -49,25 +49,25 @@
   /// @return requests that a server had begun and whose clients were told of a failure, or nothing, though they had
   /// time
   ///   left, one sentence each. Where nothing but planned work happens there must be none.
-  std::vector<std::string> cutRequests() const;
+  std::vector<std::string> interruptedRequests() const;
 
   CheckCounts counts() const;
 
   /// @return how often servers began the request.
-  std::size_t runsOf(const std::string& id) const;
+  std::size_t countExecutions(const std::string& id) const;
 
   /// @return how many lives of servers began requests whose ids begin so.
-  std::size_t livesThatBegan(const std::string& id_prefix) const;
+  std::size_t countInstances(const std::string& id_prefix) const;
 
  private:
-  struct Run {
+  struct Execution {
     std::int64_t at = 0;
     std::string instance;
     std::string id;
     int key = -1;
     std::uint64_t token = 0;
   };
-  struct Take {
+  struct Acquisition {
     std::int64_t at = 0;
     std::string instance;
     int first = 0;
@@ -76,12 +76,12 @@
   };
 
   void checkRequests(std::vector<std::string>& broken) const;
-  void checkKeys(std::vector<std::string>& broken) const;
-  void checkTakes(std::vector<std::string>& broken) const;
+  void checkTokenOrder(std::vector<std::string>& broken) const;
+  void checkAcquisitions(std::vector<std::string>& broken) const;
 
   std::vector<ClientRecord> records_;
-  std::vector<Run> runs_;
-  std::vector<Take> takes_;
+  std::vector<Execution> executions_;
+  std::vector<Acquisition> acquisitions_;
 };
 
 }  // namespace shedlever::check
--- a/source/lab/load/answer_checker.cc
+++ b/source/lab/load/answer_checker.cc
@@ -4,9 +4,11 @@
 
 namespace shedlever::load {
 
-void AnswerChecker::learn(const RequestId& id, const PlannedRequest& request) { known_[id] = request.idempotency_key; }
+void ResponseChecker::addRequest(const RequestId& id, const PlannedRequest& request) {
+  idempotency_keys_[id] = request.idempotency_key;
+}
 
-bool AnswerChecker::idFits(const PlannedRequest& request, const RequestId& own, const RequestId& answered) const {
+bool ResponseChecker::idMatches(const PlannedRequest& request, const RequestId& own, const RequestId& answered) const {
   if (answered == own) {
     return true;
   }
@@ -14,17 +16,18 @@
     return false;
   }
   // A repeated once-only request gets the answer of the one that ran, whose id may not be known here.
-  const auto found = known_.find(answered);
-  return found == known_.end() || found->second == request.idempotency_key;
+  const auto found = idempotency_keys_.find(answered);
+  return found == idempotency_keys_.end() || found->second == request.idempotency_key;
 }
 
-AnswerFault AnswerChecker::check(const PlannedRequest& request, const RequestId& id, const std::string& body) const {
+ResponseFault ResponseChecker::check(const PlannedRequest& request, const RequestId& id,
+                                     const std::string& body) const {
   constexpr std::string_view kAnswerText = "answer to ";
   if (!body.starts_with(kAnswerText)) {
-    return AnswerFault::Cut;
+    return ResponseFault::Truncated;
   }
   const RequestId answered(body.substr(kAnswerText.size()));
-  return idFits(request, id, answered) ? AnswerFault::None : AnswerFault::Wrong;
+  return idMatches(request, id, answered) ? ResponseFault::None : ResponseFault::Wrong;
 }
 
 }  // namespace shedlever::load
--- a/source/lab/load/answer_checker.h
+++ b/source/lab/load/answer_checker.h
@@ -13,19 +13,19 @@
 
 namespace shedlever::load {
 
-class AnswerChecker {
+class ResponseChecker {
  public:
   /// Call for every reply that carries a request id, answered or not, before `check`.
-  void learn(const RequestId& id, const PlannedRequest& request);
+  void addRequest(const RequestId& id, const PlannedRequest& request);
 
   /// @param id the request's own id, as the gateway told it.
-  AnswerFault check(const PlannedRequest& request, const RequestId& id, const std::string& body) const;
+  ResponseFault check(const PlannedRequest& request, const RequestId& id, const std::string& body) const;
 
  private:
-  bool idFits(const PlannedRequest& request, const RequestId& own, const RequestId& answered) const;
+  bool idMatches(const PlannedRequest& request, const RequestId& own, const RequestId& answered) const;
 
   /// Of all requests whose id is known.
-  std::map<RequestId, IdempotencyKey> known_;
+  std::map<RequestId, IdempotencyKey> idempotency_keys_;
 };
 
 }  // namespace shedlever::load
--- a/source/lab/load/latency_histogram.cc
+++ b/source/lab/load/latency_histogram.cc
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-std::size_t LatencyHistogram::bucketOf(std::uint64_t microseconds) {
+std::size_t LatencyHistogram::bucketIndex(std::uint64_t microseconds) {
   if (microseconds < kSubBuckets) {
     return static_cast<std::size_t>(microseconds);
   }
@@ -22,7 +22,7 @@
   return std::min(row * kSubBuckets + column, kBuckets - 1);
 }
 
-std::uint64_t LatencyHistogram::upperEdge(std::size_t bucket) {
+std::uint64_t LatencyHistogram::upperBound(std::size_t bucket) {
   if (bucket < kSubBuckets) {
     return bucket;
   }
@@ -33,9 +33,9 @@
 
 void LatencyHistogram::add(Duration latency) {
   const auto microseconds = static_cast<std::uint64_t>(std::max<Duration::rep>(latency.count(), 0));
-  ++buckets_[bucketOf(microseconds)];
+  ++buckets_[bucketIndex(microseconds)];
   ++count_;
-  highest_ = std::max(highest_, latency);
+  max_ = std::max(max_, latency);
 }
 
 Duration LatencyHistogram::quantile(double share) const {
@@ -44,7 +44,7 @@
   for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
     seen += buckets_[bucket];
     if (seen > 0 && seen >= wanted) {
-      return std::min(Duration(static_cast<Duration::rep>(upperEdge(bucket))), highest_);
+      return std::min(Duration(static_cast<Duration::rep>(upperBound(bucket))), max_);
     }
   }
   return Duration::zero();
--- a/source/lab/load/latency_histogram.h
+++ b/source/lab/load/latency_histogram.h
@@ -20,17 +20,17 @@
   Duration quantile(double share) const;
 
   std::uint64_t count() const { return count_; }
-  Duration highest() const { return highest_; }
+  Duration max() const { return max_; }
 
  private:
   static constexpr std::uint64_t kSubBuckets = 32;
   static constexpr std::size_t kBuckets = 40 * kSubBuckets;
-  static std::size_t bucketOf(std::uint64_t microseconds);
-  static std::uint64_t upperEdge(std::size_t bucket);
+  static std::size_t bucketIndex(std::uint64_t microseconds);
+  static std::uint64_t upperBound(std::size_t bucket);
 
   std::array<std::uint64_t, kBuckets> buckets_{};
   std::uint64_t count_ = 0;
-  Duration highest_ = Duration::zero();
+  Duration max_ = Duration::zero();
 };
 
 }  // namespace shedlever::load
--- a/source/lab/load/load_command.cc
+++ b/source/lab/load/load_command.cc
@@ -76,19 +76,19 @@
   EventLoop loop;
   const BootClockImpl clock;
   LoadRunner runner(loop, clock, options.config);
-  loop.onSignal(SIGINT, [&runner] { runner.finishEarly(); });
+  loop.onSignal(SIGINT, [&runner] { runner.stopSending(); });
   runner.start();
   {
     const ProgressLine progress(loop, runner);
-    const Duration cap = options.config.length + 2 * (options.config.deadline + options.config.patience);
+    const Duration cap = options.config.duration + 2 * (options.config.deadline + options.config.reply_grace);
     loop.runUntil([&runner] { return runner.done(); }, cap);
   }
-  const LoadReport report = makeReport(runner.records(), kSlowAnswer);
+  const LoadReport report = makeReport(runner.records(), kSlowAnswerThreshold);
   if (!write(options, report, runner.records())) {
     std::cerr << "load: can't write the report file=" << options.output << "\n";
     return EXIT_FAILURE;
   }
-  const bool clean = report.tally.wrong() == 0 && report.tally.cut() == 0;
+  const bool clean = report.tally.wrong() == 0 && report.tally.truncated() == 0;
   return clean ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
--- a/source/lab/load/load_options.cc
+++ b/source/lab/load/load_options.cc
@@ -33,7 +33,7 @@
   add("seconds", options::value(&flags.seconds)->default_value(flags.seconds), "time in which requests are made");
   add("keys", options::value(&config.keys)->default_value(config.keys), "keys of each service");
   add("skew", options::value(&config.skew)->default_value(config.skew), "Zipf exponent of the keys");
-  add("repeat-share", options::value(&config.repeat_share)->default_value(config.repeat_share),
+  add("repeat-share", options::value(&config.repeat_ratio)->default_value(config.repeat_ratio),
       "share of once-only requests that repeat an earlier one");
   add("deadline-ms", options::value(&flags.deadline_ms)->default_value(flags.deadline_ms), "deadline of each request");
   add("body-bytes", options::value(&config.body_bytes)->default_value(config.body_bytes), "request bodies");
@@ -44,19 +44,19 @@
 }
 
 /// "NAME=REST" or "NAME=REST,EXTRA".
-struct NamedText {
+struct NamedValue {
   std::string name;
   std::string rest;
   std::string extra;
 };
 
-NamedText split(const std::string& text) {
+NamedValue split(const std::string& text) {
   const std::size_t equals = text.find('=');
   if (equals == std::string::npos) {
     return {};
   }
   const std::size_t comma = text.find(',', equals);
-  NamedText named{text.substr(0, equals), text.substr(equals + 1, comma - equals - 1), ""};
+  NamedValue named{text.substr(0, equals), text.substr(equals + 1, comma - equals - 1), ""};
   if (comma != std::string::npos) {
     named.extra = text.substr(comma + 1);
   }
@@ -83,7 +83,7 @@
 
 void readServices(const Flags& flags, LoadConfig& config, Findings& findings) {
   for (const std::string& text : flags.services) {
-    const NamedText named = split(text);
+    const NamedValue named = split(text);
     const bool prefix_fits = named.rest.size() > 1 && named.rest.front() == '/' && named.rest.back() == '/';
     if (named.name.empty() || !prefix_fits || (!named.extra.empty() && named.extra != "once-only")) {
       findings.add("--service " + text, "must be NAME=/PREFIX/ or NAME=/PREFIX/,once-only");
@@ -98,7 +98,7 @@
 
 void readTenants(const Flags& flags, LoadConfig& config, Findings& findings) {
   for (const std::string& text : flags.tenants) {
-    const NamedText named = split(text);
+    const NamedValue named = split(text);
     std::uint32_t weight = 1;
     const char* const end = named.extra.data() + named.extra.size();
     const auto [read_to, error] = std::from_chars(named.extra.data(), end, weight);
@@ -117,11 +117,11 @@
 void readNumbers(const Flags& flags, LoadOptions& result, Findings& findings) {
   LoadConfig& config = result.config;
   constexpr double kMicroseconds = 1e6;
-  constexpr double kLongestSeconds = 86400;
-  if (!(flags.seconds > 0 && flags.seconds <= kLongestSeconds)) {
+  constexpr double kMaxSeconds = 86400;
+  if (!(flags.seconds > 0 && flags.seconds <= kMaxSeconds)) {
     findings.add("--seconds", "must be above 0 and at most 86400");
   } else {
-    config.length = Duration(static_cast<Duration::rep>(flags.seconds * kMicroseconds));
+    config.duration = Duration(static_cast<Duration::rep>(flags.seconds * kMicroseconds));
   }
   if (!(config.rate > 0)) {
     findings.add("--rate", "must be above 0");
@@ -129,7 +129,7 @@
   if (config.keys == 0) {
     findings.add("--keys", "must be at least 1");
   }
-  if (!(config.repeat_share >= 0 && config.repeat_share <= 1)) {
+  if (!(config.repeat_ratio >= 0 && config.repeat_ratio <= 1)) {
     findings.add("--repeat-share", "must lie between 0 and 1");
   }
   config.deadline = std::chrono::milliseconds(flags.deadline_ms);
--- a/source/lab/load/load_report.cc
+++ b/source/lab/load/load_report.cc
@@ -20,13 +20,13 @@
 
 double milliseconds(Duration duration) { return static_cast<double>(duration.count()) / 1000.0; }
 
-const char* faultWord(AnswerFault fault) {
+const char* faultWord(ResponseFault fault) {
   switch (fault) {
-    case AnswerFault::None:
+    case ResponseFault::None:
       return "";
-    case AnswerFault::Wrong:
+    case ResponseFault::Wrong:
       return "wrong";
-    case AnswerFault::Cut:
+    case ResponseFault::Truncated:
       return "cut";
   }
   return "";
@@ -59,12 +59,13 @@
   for (const NamedQuantile& quantile : kQuantiles) {
     text << " " << quantile.name << " " << milliseconds(report.tally.latency().quantile(quantile.share));
   }
-  text << " max " << milliseconds(report.tally.latency().highest()) << "\n";
+  text << " max " << milliseconds(report.tally.latency().max()) << "\n";
   text << "unavailable keys " << report.unavailable_keys << "; one key's longest, ms: proved "
-       << milliseconds(report.unavailable.proved_longest) << ", at most " << milliseconds(report.unavailable.longest)
-       << "; sum over keys, ms: proved " << milliseconds(report.unavailable.proved_sum) << ", at most "
-       << milliseconds(report.unavailable.sum) << "\n";
-  text << "wrong answers " << report.tally.wrong() << ", cut answers " << report.tally.cut() << "\n";
+       << milliseconds(report.unavailable.longest_lower_bound) << ", at most "
+       << milliseconds(report.unavailable.longest_upper_bound) << "; sum over keys, ms: proved "
+       << milliseconds(report.unavailable.total_lower_bound) << ", at most "
+       << milliseconds(report.unavailable.total_upper_bound) << "\n";
+  text << "wrong answers " << report.tally.wrong() << ", cut answers " << report.tally.truncated() << "\n";
   return text.str();
 }
 
@@ -72,7 +73,7 @@
   nlohmann::json json;
   json["seed"] = config.seed;
   json["rate"] = config.rate;
-  json["seconds"] = milliseconds(config.length) / 1000.0;
+  json["seconds"] = milliseconds(config.duration) / 1000.0;
   json["requests"] = report.tally.total();
   for (const CallerOutcome outcome : kOutcomes) {
     json["outcomes"][toString(outcome)] = report.tally.count(outcome);
@@ -81,14 +82,14 @@
   for (const NamedQuantile& quantile : kQuantiles) {
     json["latency_ms"][quantile.name] = milliseconds(report.tally.latency().quantile(quantile.share));
   }
-  json["latency_ms"]["max"] = milliseconds(report.tally.latency().highest());
+  json["latency_ms"]["max"] = milliseconds(report.tally.latency().max());
   json["unavailable"] = {{"keys", report.unavailable_keys},
-                         {"longest_proved_ms", milliseconds(report.unavailable.proved_longest)},
-                         {"longest_at_most_ms", milliseconds(report.unavailable.longest)},
-                         {"sum_proved_ms", milliseconds(report.unavailable.proved_sum)},
-                         {"sum_at_most_ms", milliseconds(report.unavailable.sum)}};
+                         {"longest_proved_ms", milliseconds(report.unavailable.longest_lower_bound)},
+                         {"longest_at_most_ms", milliseconds(report.unavailable.longest_upper_bound)},
+                         {"sum_proved_ms", milliseconds(report.unavailable.total_lower_bound)},
+                         {"sum_at_most_ms", milliseconds(report.unavailable.total_upper_bound)}};
   json["wrong"] = report.tally.wrong();
-  json["cut"] = report.tally.cut();
+  json["cut"] = report.tally.truncated();
   constexpr int kIndent = 2;
   return json.dump(kIndent) + "\n";
 }
--- a/source/lab/load/load_report.h
+++ b/source/lab/load/load_report.h
@@ -30,6 +30,6 @@
 std::string recordsCsv(const LoadConfig& config, const std::vector<RequestRecord>& records);
 
 /// Default of `slow_limit`.
-inline constexpr Duration kSlowAnswer = std::chrono::milliseconds(250);
+inline constexpr Duration kSlowAnswerThreshold = std::chrono::milliseconds(250);
 
 }  // namespace shedlever::load
--- a/source/lab/load/load_runner.cc
+++ b/source/lab/load/load_runner.cc
@@ -54,15 +54,15 @@
   scheduleNext();
 }
 
-void LoadRunner::finishEarly() {
+void LoadRunner::stopSending() {
   loop_.cancel(timer_);
   timer_ = 0;
-  ended_making_ = true;
+  sending_stopped_ = true;
 }
 
 void LoadRunner::scheduleNext() {
-  if (next_due_ >= config_.length) {
-    finishEarly();
+  if (next_due_ >= config_.duration) {
+    stopSending();
     return;
   }
   const Duration wait = std::max(next_due_ - sinceStart(), Duration::zero());
@@ -74,14 +74,14 @@
 
 void LoadRunner::sendDue() {
   const Duration now = sinceStart();
-  while (next_due_ <= now && next_due_ < config_.length) {
+  while (next_due_ <= now && next_due_ < config_.duration) {
     send(generator_.next(), next_due_);
     next_due_ = schedule_.next();
   }
   scheduleNext();
 }
 
-HttpRequest LoadRunner::httpOf(const PlannedRequest& planned) const {
+HttpRequest LoadRunner::toHttpRequest(const PlannedRequest& planned) const {
   HttpRequest http;
   http.method = "POST";
   http.target = planned.target;
@@ -95,7 +95,7 @@
 }
 
 void LoadRunner::send(PlannedRequest planned, Duration due) {
-  ++due_;
+  ++due_count_;
   RequestRecord record;
   record.sequence = planned.sequence;
   record.service = planned.service;
@@ -113,14 +113,15 @@
     return;
   }
   ++in_flight_;
-  HttpRequest http = httpOf(planned);
+  HttpRequest http = toHttpRequest(planned);
   HttpClient& client = *clients_[planned.gateway];
-  client.send(
-      std::move(http), config_.deadline + config_.patience,
-      [this, planned = std::move(planned), record](const HttpExchange& exchange) { ended(planned, record, exchange); });
+  client.send(std::move(http), config_.deadline + config_.reply_grace,
+              [this, planned = std::move(planned), record](const HttpExchange& exchange) {
+                onExchangeEnd(planned, record, exchange);
+              });
 }
 
-void LoadRunner::ended(const PlannedRequest& planned, RequestRecord record, const HttpExchange& exchange) {
+void LoadRunner::onExchangeEnd(const PlannedRequest& planned, RequestRecord record, const HttpExchange& exchange) {
   --in_flight_;
   record.ended = sinceStart();
   switch (exchange.status) {
@@ -144,7 +145,7 @@
       record.reason = "cancelled";
       break;
   }
-  answered_ += record.outcome == CallerOutcome::Answered ? 1 : 0;
+  answered_count_ += record.outcome == CallerOutcome::Answered ? 1 : 0;
   records_.push_back(std::move(record));
 }
 
@@ -153,7 +154,7 @@
   record.reason = headerOf(response, "Shedlever-Reason");
   record.id = RequestId(headerOf(response, "Shedlever-Request-Id"));
   record.http_status = response.status;
-  checker_.learn(record.id, planned);
+  checker_.addRequest(record.id, planned);
   if (outcome == toString(Outcome::NotRun)) {
     record.outcome = CallerOutcome::NotRun;
   } else if (outcome == toString(Outcome::Unknown)) {
@@ -162,13 +163,13 @@
     record.outcome = CallerOutcome::Answered;
     // The stand-in server answers every request that ran with 200.
     const bool ok = response.status == kHttpOk;
-    record.fault = ok ? checker_.check(planned, record.id, response.body) : AnswerFault::Wrong;
+    record.fault = ok ? checker_.check(planned, record.id, response.body) : ResponseFault::Wrong;
   } else {
     record.reason = "no-outcome";
-    record.fault = AnswerFault::Wrong;
+    record.fault = ResponseFault::Wrong;
   }
 }
 
-LoadProgress LoadRunner::progress() const { return {due_, records_.size(), answered_, sinceStart()}; }
+LoadProgress LoadRunner::progress() const { return {due_count_, records_.size(), answered_count_, sinceStart()}; }
 
 }  // namespace shedlever::load
--- a/source/lab/load/load_runner.h
+++ b/source/lab/load/load_runner.h
@@ -37,10 +37,10 @@
   void start();
 
   /// Makes no more requests; those under way are still waited for.
-  void finishEarly();
+  void stopSending();
 
   /// @return whether the time is over and no request is under way.
-  bool done() const { return ended_making_ && in_flight_ == 0; }
+  bool done() const { return sending_stopped_ && in_flight_ == 0; }
 
   LoadProgress progress() const;
 
@@ -53,8 +53,8 @@
   void scheduleNext();
   void sendDue();
   void send(PlannedRequest planned, Duration due);
-  HttpRequest httpOf(const PlannedRequest& planned) const;
-  void ended(const PlannedRequest& planned, RequestRecord record, const HttpExchange& exchange);
+  HttpRequest toHttpRequest(const PlannedRequest& planned) const;
+  void onExchangeEnd(const PlannedRequest& planned, RequestRecord record, const HttpExchange& exchange);
   void readReply(const PlannedRequest& planned, const HttpResponse& response, RequestRecord& record);
   Duration sinceStart() const { return clock_.now() - begin_; }
 
@@ -63,16 +63,16 @@
   LoadConfig config_;
   OpenLoopSchedule schedule_;
   RequestGenerator generator_;
-  AnswerChecker checker_;
+  ResponseChecker checker_;
   /// One for each gateway.
   std::vector<std::unique_ptr<HttpClient>> clients_;
   std::vector<RequestRecord> records_;
   TimePoint begin_;
   Duration next_due_ = Duration::zero();
   TimerId timer_ = 0;
-  bool ended_making_ = false;
-  std::uint64_t due_ = 0;
-  std::uint64_t answered_ = 0;
+  bool sending_stopped_ = false;
+  std::uint64_t due_count_ = 0;
+  std::uint64_t answered_count_ = 0;
   std::uint32_t in_flight_ = 0;
 };
 
--- a/source/lab/load/outcome_tally.cc
+++ b/source/lab/load/outcome_tally.cc
@@ -10,8 +10,8 @@
   } else {
     ++by_reason_[std::string(toString(record.outcome)) + " " + record.reason];
   }
-  wrong_ += record.fault == AnswerFault::Wrong ? 1 : 0;
-  cut_ += record.fault == AnswerFault::Cut ? 1 : 0;
+  wrong_ += record.fault == ResponseFault::Wrong ? 1 : 0;
+  truncated_ += record.fault == ResponseFault::Truncated ? 1 : 0;
 }
 
 std::uint64_t OutcomeTally::count(CallerOutcome outcome) const {
--- a/source/lab/load/outcome_tally.h
+++ b/source/lab/load/outcome_tally.h
@@ -21,7 +21,7 @@
   /// @return counts by "outcome reason", e.g. "not-run queue-full".
   const std::map<std::string, std::uint64_t>& byReason() const { return by_reason_; }
   std::uint64_t wrong() const { return wrong_; }
-  std::uint64_t cut() const { return cut_; }
+  std::uint64_t truncated() const { return truncated_; }
   /// Latency of answered requests, from when they were due.
   const LatencyHistogram& latency() const { return latency_; }
 
@@ -30,7 +30,7 @@
   std::map<CallerOutcome, std::uint64_t> by_outcome_;
   std::map<std::string, std::uint64_t> by_reason_;
   std::uint64_t wrong_ = 0;
-  std::uint64_t cut_ = 0;
+  std::uint64_t truncated_ = 0;
   LatencyHistogram latency_;
 };
 
--- a/source/lab/load/request_generator.cc
+++ b/source/lab/load/request_generator.cc
@@ -30,7 +30,7 @@
   return targets.size() - 1;
 }
 
-PlannedRequest RequestGenerator::fresh() {
+PlannedRequest RequestGenerator::generate() {
   PlannedRequest request;
   request.service = pickWeighted(config_.services);
   request.tenant = pickWeighted(config_.tenants);
@@ -39,7 +39,7 @@
   request.target = service.path_prefix + request.key + "/item";
   request.body = "request " + std::to_string(sequence_) + " seed " + std::to_string(config_.seed) + " ";
   request.body.resize(std::max<std::size_t>(request.body.size(), config_.body_bytes), '.');
-  if (service.once_only) {
+  if (service.at_most_once) {
     request.idempotency_key = IdempotencyKey("load-" + std::to_string(config_.seed) + "-" + std::to_string(sequence_));
   }
   return request;
@@ -48,9 +48,9 @@
 void RequestGenerator::shiftHotKeys() { rank_shift_ = (rank_shift_ + kRankShift) % config_.keys; }
 
 PlannedRequest RequestGenerator::next() {
-  PlannedRequest request = fresh();
+  PlannedRequest request = generate();
   if (!request.idempotency_key.empty()) {
-    const bool repeat = random_.fraction() < config_.repeat_share;
+    const bool repeat = random_.fraction() < config_.repeat_ratio;
     if (repeat && !repeatable_.empty()) {
       request = repeatable_[random_.below(repeatable_.size())];
     } else if (repeatable_.size() < kRepeatableLimit) {
--- a/source/lab/load/request_generator.h
+++ b/source/lab/load/request_generator.h
@@ -40,7 +40,7 @@
  private:
   template <class Target>
   std::size_t pickWeighted(const std::vector<Target>& targets);
-  PlannedRequest fresh();
+  PlannedRequest generate();
 
   LoadConfig config_;
   RandomStream random_;
--- a/source/lab/load/request_record.h
+++ b/source/lab/load/request_record.h
@@ -24,10 +24,10 @@
 const char* toString(CallerOutcome outcome);
 
 /// What is wrong with an answer that the gateway called whole.
-enum class AnswerFault : std::uint8_t {
+enum class ResponseFault : std::uint8_t {
   None,
-  Wrong,  ///< belongs to another request
-  Cut,    ///< not whole, or not readable
+  Wrong,      ///< belongs to another request
+  Truncated,  ///< not whole, or not readable
 };
 
 struct RequestRecord {
@@ -44,7 +44,7 @@
   /// `Shedlever-Reason`; empty when answered.
   std::string reason;
   int http_status = 0;
-  AnswerFault fault = AnswerFault::None;
+  ResponseFault fault = ResponseFault::None;
   /// Counted from the beginning of the load.
   Duration due = Duration::zero();
   Duration sent = Duration::zero();
--- a/source/lab/load/unavailability_meter.cc
+++ b/source/lab/load/unavailability_meter.cc
@@ -9,7 +9,7 @@
 
 namespace shedlever::load {
 
-bool tellsOfAvailability(const RequestRecord& record) {
+bool reflectsAvailability(const RequestRecord& record) {
   constexpr std::array kOwnFault = {
       Reason::BadRequest,       Reason::Unauthenticated,     Reason::UnknownService,        Reason::TooLarge,
       Reason::DuplicateUnknown, Reason::DuplicateInProgress, Reason::MissingIdempotencyKey, Reason::Quarantined};
@@ -21,11 +21,11 @@
 }
 
 void UnavailabilityMeter::add(const RequestRecord& record) {
-  if (!tellsOfAvailability(record)) {
+  if (!reflectsAvailability(record)) {
     return;
   }
   const std::string name = std::to_string(record.service) + "/" + record.key;
-  const bool in_time = record.latency() <= slow_limit_;
+  const bool in_time = record.latency() <= slow_threshold_;
   samples_[name].push_back({record.due, record.ended, record.outcome == CallerOutcome::Answered && in_time});
   if (record.outcome == CallerOutcome::Answered && !in_time) {
     // The answer itself proves the key available at its end.
@@ -42,10 +42,10 @@
   Duration last_failed_end = Duration::zero();
   const auto close = [&](Duration end) {
     const Duration proved = std::min(last_failed_end, std::max(end, begin)) - begin;
-    result.proved_longest = std::max(result.proved_longest, proved);
-    result.proved_sum += proved;
-    result.longest = std::max(result.longest, end - begin);
-    result.sum += end - begin;
+    result.longest_lower_bound = std::max(result.longest_lower_bound, proved);
+    result.total_lower_bound += proved;
+    result.longest_upper_bound = std::max(result.longest_upper_bound, end - begin);
+    result.total_upper_bound += end - begin;
     open = false;
   };
   for (const Sample& sample : samples) {
@@ -67,7 +67,7 @@
   std::map<std::string, Unavailability> result;
   for (const auto& [name, samples] : samples_) {
     const Unavailability measured = measure(samples);
-    if (measured.sum > Duration::zero()) {
+    if (measured.total_upper_bound > Duration::zero()) {
       result[name] = measured;
     }
   }
@@ -77,10 +77,10 @@
 Unavailability UnavailabilityMeter::total() const {
   Unavailability total;
   for (const auto& [name, one] : perKey()) {
-    total.proved_longest = std::max(total.proved_longest, one.proved_longest);
-    total.longest = std::max(total.longest, one.longest);
-    total.proved_sum += one.proved_sum;
-    total.sum += one.sum;
+    total.longest_lower_bound = std::max(total.longest_lower_bound, one.longest_lower_bound);
+    total.longest_upper_bound = std::max(total.longest_upper_bound, one.longest_upper_bound);
+    total.total_lower_bound += one.total_lower_bound;
+    total.total_upper_bound += one.total_upper_bound;
   }
   return total;
 }
--- a/source/lab/load/unavailability_meter.h
+++ b/source/lab/load/unavailability_meter.h
@@ -15,11 +15,11 @@
 struct Unavailability {
   /// From the due time of a request that was not answered to the end of the last such one in a row: that
   /// long the key certainly was unavailable.
-  Duration proved_longest = Duration::zero();
-  Duration proved_sum = Duration::zero();
+  Duration longest_lower_bound = Duration::zero();
+  Duration total_lower_bound = Duration::zero();
   /// The same up to the due time of the next answered request: no longer than that.
-  Duration longest = Duration::zero();
-  Duration sum = Duration::zero();
+  Duration longest_upper_bound = Duration::zero();
+  Duration total_upper_bound = Duration::zero();
 };
 
 /// Takes records in any order. A request that was answered late, beyond `slow_limit`, counts as unavailable
@@ -27,7 +27,7 @@
 class UnavailabilityMeter {
  public:
   /// @param slow_limit latency from which an answered request counts as having waited for an unavailable key.
-  explicit UnavailabilityMeter(Duration slow_limit) : slow_limit_(slow_limit) {}
+  explicit UnavailabilityMeter(Duration slow_limit) : slow_threshold_(slow_limit) {}
 
   void add(const RequestRecord& record);
 
@@ -45,12 +45,12 @@
   };
   Unavailability measure(std::vector<Sample> samples) const;
 
-  Duration slow_limit_;
+  Duration slow_threshold_;
   std::map<std::string, std::vector<Sample>> samples_;
 };
 
 /// @return whether the outcome says something of the key's availability: refusals of a repeated idempotency
 /// key and of the request itself don't.
-bool tellsOfAvailability(const RequestRecord& record);
+bool reflectsAvailability(const RequestRecord& record);
 
 }  // namespace shedlever::load
--- a/source/lab/sim/assigned_keys.cc
+++ b/source/lab/sim/assigned_keys.cc
@@ -16,25 +16,25 @@
 }  // namespace
 
 AssignedKeys::AssignedKeys(const Clock& clock, std::function<bool(const KeyRange&, TimePoint)> works)
-    : clock_(clock), works_(std::move(works)), seen_(kKeyCount, 0) {}
+    : clock_(clock), has_running_work_(std::move(works)), max_tokens_(kKeyCount, 0) {}
 
-void AssignedKeys::passTime() {
+void AssignedKeys::removeExpired() {
   const TimePoint now = clock_.now();
-  std::erase_if(rows_, [now](const Row& row) { return row.until <= now; });
-  std::erase_if(leaving_, [&](const Row& row) {
-    const bool has_ended = !works_(row.keys, row.let_go);
-    if (has_ended && row.until > now) {
+  std::erase_if(held_, [now](const HeldRange& row) { return row.expires <= now; });
+  std::erase_if(releasing_, [&](const HeldRange& row) {
+    const bool has_ended = !has_running_work_(row.keys, row.release_started);
+    if (has_ended && row.expires > now) {
       released_.push_back({row.keys.first, row.keys.last, "handover-" + std::to_string(row.token)});
     }
-    return has_ended || row.until <= now;
+    return has_ended || row.expires <= now;
   });
 }
 
 KeyReport AssignedKeys::report() {
-  passTime();
+  removeExpired();
   KeyReport report;
-  for (const auto* rows : {&rows_, &leaving_}) {
-    for (const Row& row : *rows) {
+  for (const auto* rows : {&held_, &releasing_}) {
+    for (const HeldRange& row : *rows) {
       report.held.push_back({row.keys.first, row.keys.last, row.token});
     }
   }
@@ -42,20 +42,20 @@
   return report;
 }
 
-bool AssignedKeys::refuses(const AssignedRange& range) const {
-  return std::any_of(seen_.begin() + range.first, seen_.begin() + range.last + 1,
+bool AssignedKeys::isStale(const AssignedRange& range) const {
+  return std::any_of(max_tokens_.begin() + range.first, max_tokens_.begin() + range.last + 1,
                      [&](FenceToken seen) { return seen > range.token; });
 }
 
 /// Keys of the row that are not in `kept` are let go of once the work on them has ended.
-void AssignedKeys::letGo(const Row& row, std::vector<AssignedRange> kept) {
+void AssignedKeys::startRelease(const HeldRange& row, std::vector<AssignedRange> kept) {
   std::uint32_t next = row.keys.first;
   const auto leave = [&](std::uint32_t end) {
     if (next < end) {
-      Row leaving = row;
+      HeldRange leaving = row;
       leaving.keys = {static_cast<Key>(next), static_cast<Key>(end - 1)};
-      leaving.let_go = clock_.now();
-      leaving_.push_back(leaving);
+      leaving.release_started = clock_.now();
+      releasing_.push_back(leaving);
     }
   };
   std::sort(kept.begin(), kept.end(), [](const auto& left, const auto& right) { return left.first < right.first; });
@@ -70,7 +70,7 @@
 
 std::vector<AssignedRange> AssignedKeys::onAcknowledged(const std::optional<KeyAssignment>& assignment,
                                                         const std::vector<ReleasedRange>& reported, TimePoint sent) {
-  passTime();
+  removeExpired();
   const auto was_reported = [&](const ReleasedRange& range) {
     return std::any_of(reported.begin(), reported.end(), [&](const ReleasedRange& other) {
       return other.first == range.first && other.last == range.last;
@@ -82,43 +82,43 @@
     return newly_taken;
   }
   std::vector<AssignedRange> accepted = assignment->ranges;
-  std::erase_if(accepted, [this](const AssignedRange& range) { return refuses(range); });
-  const std::vector<Row> before = std::exchange(rows_, {});
-  for (const Row& row : before) {
-    letGo(row, accepted);
+  std::erase_if(accepted, [this](const AssignedRange& range) { return isStale(range); });
+  const std::vector<HeldRange> before = std::exchange(held_, {});
+  for (const HeldRange& row : before) {
+    startRelease(row, accepted);
   }
   for (const AssignedRange& range : accepted) {
-    const Row row{{range.first, range.last}, range.token, sent + byServersClock(assignment->hold_duration), {}};
-    const bool is_new = std::none_of(before.begin(), before.end(), [&](const Row& other) {
+    const HeldRange row{{range.first, range.last}, range.token, sent + byServersClock(assignment->hold_duration), {}};
+    const bool is_new = std::none_of(before.begin(), before.end(), [&](const HeldRange& other) {
       return other.keys == row.keys && other.token == row.token;
     });
     if (is_new) {
       newly_taken.push_back(range);
-      std::fill(seen_.begin() + range.first, seen_.begin() + range.last + 1, range.token);
+      std::fill(max_tokens_.begin() + range.first, max_tokens_.begin() + range.last + 1, range.token);
     }
-    rows_.push_back(row);
+    held_.push_back(row);
   }
   return newly_taken;
 }
 
-void AssignedKeys::forgetAll() {
-  rows_.clear();
-  leaving_.clear();
+void AssignedKeys::dropAllKeys() {
+  held_.clear();
+  releasing_.clear();
 }
 
 FenceToken AssignedKeys::tokenOf(Key key) const {
   const TimePoint now = clock_.now();
-  const auto found = std::find_if(rows_.begin(), rows_.end(),
-                                  [&](const Row& row) { return row.keys.contains(key) && row.until > now; });
-  return found == rows_.end() ? 0 : found->token;
+  const auto found = std::find_if(held_.begin(), held_.end(),
+                                  [&](const HeldRange& row) { return row.keys.contains(key) && row.expires > now; });
+  return found == held_.end() ? 0 : found->token;
 }
 
 bool AssignedKeys::occupies(Key key) const {
   const TimePoint now = clock_.now();
-  const auto works = [&](const Row& row) {
-    return row.keys.contains(key) && row.until > now && works_(row.keys, row.let_go);
+  const auto works = [&](const HeldRange& row) {
+    return row.keys.contains(key) && row.expires > now && has_running_work_(row.keys, row.release_started);
   };
-  return tokenOf(key) != 0 || std::any_of(leaving_.begin(), leaving_.end(), works);
+  return tokenOf(key) != 0 || std::any_of(releasing_.begin(), releasing_.end(), works);
 }
 
 }  // namespace shedlever::sim
--- a/source/lab/sim/assigned_keys.h
+++ b/source/lab/sim/assigned_keys.h
@@ -17,7 +17,7 @@
 class AssignedKeys {
  public:
   /// @param works whether work on the keys, which the server let go of at that time, still runs.
-  AssignedKeys(const Clock& clock, std::function<bool(const KeyRange&, TimePoint let_go)> works);
+  AssignedKeys(const Clock& clock, std::function<bool(const KeyRange&, TimePoint release_started)> works);
 
   /// @return the keys' part of a heartbeat that is sent now.
   KeyReport report();
@@ -29,33 +29,33 @@
                                             const std::vector<ReleasedRange>& reported, TimePoint sent);
 
   /// @return whether work goes on that keeps the server from letting go of keys: it sends its next heartbeat soon.
-  bool isLettingGo() const { return !leaving_.empty(); }
+  bool isReleasing() const { return !releasing_.empty(); }
 
   /// Holds nothing until it is told anew.
-  void forgetAll();
+  void dropAllKeys();
   /// @return the token under which it holds the key; 0 when it does not.
   FenceToken tokenOf(Key key) const;
   /// @return whether it holds the key, or still works on requests for it within its lease.
   bool occupies(Key key) const;
 
  private:
-  struct Row {
+  struct HeldRange {
     KeyRange keys;
     FenceToken token = 0;
-    TimePoint until{};
+    TimePoint expires{};
     /// When the server was told to let go.
-    TimePoint let_go{};
+    TimePoint release_started{};
   };
 
-  bool refuses(const AssignedRange& range) const;
-  void letGo(const Row& row, std::vector<AssignedRange> kept);
-  void passTime();
+  bool isStale(const AssignedRange& range) const;
+  void startRelease(const HeldRange& row, std::vector<AssignedRange> kept);
+  void removeExpired();
 
   const Clock& clock_;
-  std::function<bool(const KeyRange&, TimePoint)> works_;
-  std::vector<FenceToken> seen_;
-  std::vector<Row> rows_;
-  std::vector<Row> leaving_;
+  std::function<bool(const KeyRange&, TimePoint)> has_running_work_;
+  std::vector<FenceToken> max_tokens_;
+  std::vector<HeldRange> held_;
+  std::vector<HeldRange> releasing_;
   std::vector<ReleasedRange> released_;
 };
 
--- a/source/lab/sim/ownership_checks.cc
+++ b/source/lab/sim/ownership_checks.cc
@@ -5,19 +5,19 @@
 namespace shedlever::sim {
 
 Key OwnershipChecks::sampleKey(std::size_t index) {
-  constexpr std::size_t kStep = kKeyCount / kSamples;
+  constexpr std::size_t kStep = kKeyCount / kSampleCount;
   return static_cast<Key>(index * kStep + index % kStep);
 }
 
-void OwnershipChecks::onTake(const SimulatedServer& server, Key first, Key last, FenceToken token,
-                             const Servers& running) {
-  for (std::size_t i = 0; i < kSamples; ++i) {
+void OwnershipChecks::onAcquired(const SimulatedServer& server, Key first, Key last, FenceToken token,
+                                 const Servers& running) {
+  for (std::size_t i = 0; i < kSampleCount; ++i) {
     const Key key = sampleKey(i);
     if (key < first || last < key) {
       continue;
     }
     for (const SimulatedServer* other : running) {
-      if (other != &server && other->taken[key] >= token) {
+      if (other != &server && other->acquired_tokens[key] >= token) {
         violations_.push_back("key " + std::to_string(key) + ": token " + std::to_string(token) +
                               " is not above that of another server");
       }
@@ -26,7 +26,7 @@
 }
 
 void OwnershipChecks::check(const Servers& running, TimePoint now) {
-  for (std::size_t i = 0; i < kSamples; ++i) {
+  for (std::size_t i = 0; i < kSampleCount; ++i) {
     const Key key = sampleKey(i);
     const auto holders = std::count_if(running.begin(), running.end(),
                                        [key](const SimulatedServer* server) { return server->occupies(key); });
--- a/source/lab/sim/ownership_checks.h
+++ b/source/lab/sim/ownership_checks.h
@@ -15,12 +15,12 @@
  public:
   using Servers = std::vector<const SimulatedServer*>;
 
-  static constexpr std::size_t kSamples = 128;
+  static constexpr std::size_t kSampleCount = 128;
   static Key sampleKey(std::size_t index);
 
   /// The server has taken keys, at once and not late.
   /// @param running all servers that run.
-  void onTake(const SimulatedServer& server, Key first, Key last, FenceToken token, const Servers& running);
+  void onAcquired(const SimulatedServer& server, Key first, Key last, FenceToken token, const Servers& running);
 
   /// Something has happened. @param running all servers that run.
   void check(const Servers& running, TimePoint now);
--- a/source/lab/sim/ownership_world.h
+++ b/source/lab/sim/ownership_world.h
@@ -23,22 +23,22 @@
 namespace shedlever::sim {
 
 /// How orders to one server go, or its heartbeats.
-struct OrderFaults {
+struct ServerFaults {
   /// Nothing answers, nothing is done; heartbeats don't arrive.
   bool silent = false;
   /// Chance that an order gets no answer and is carried out 2 to 12 s later; that a heartbeat comes so late.
-  double late = 0;
+  double late_probability = 0;
   /// Chance that a heartbeat's acknowledgement is lost.
-  double unacknowledged = 0;
+  double lost_acknowledgement_probability = 0;
   /// Chance that a heartbeat comes twice.
-  double repeated = 0;
+  double duplicate_probability = 0;
 };
 
 /// See the file's comment.
-class OwnershipWorld {
+class SimulatedCluster {
  public:
-  OwnershipWorld(std::size_t nodes, std::uint64_t seed, const OwnershipConfig& config = {});
-  ~OwnershipWorld();
+  SimulatedCluster(std::size_t nodes, std::uint64_t seed, const OwnershipConfig& config = {});
+  ~SimulatedCluster();
 
   void run(Duration span);
 
@@ -48,10 +48,10 @@
   /// As `restartNode`; others tell the process what is left of the lease of the one before it.
   void restartNodeWithLease(std::size_t node);
   /// As `restartNodeWithLease`; the table that others tell is this one.
-  void restartNodeTold(std::size_t node, const MetadataObject& table);
+  void restartNodeWithPeerTable(std::size_t node, const MetadataObject& table);
   /// As `restartNode`; of nodes that are dead the process knows the record alone, and never hears that they can't be
   /// reached.
-  void restartNodeWithRecordsAlone(std::size_t node);
+  void restartNodeWithRecordsOnly(std::size_t node);
   /// @return the owner table as the store has it.
   MetadataObject table() const;
   /// The process stands still; its server goes on.
@@ -64,27 +64,27 @@
   void drainServer(std::size_t node);
   /// The zone of the node, which is its alone, is to get nothing; every process hears of it at once, also one that
   /// starts later. @param evacuated false: the wish is withdrawn.
-  void evacuate(std::size_t node, bool evacuated);
+  void setEvacuated(std::size_t node, bool evacuated);
   /// The store keeps a copy of all that it holds.
   void copyStore() { store_.keepCopy(); }
   /// The store goes back to the copy. Processes learn of it by what it answers.
   void restoreStore() { store_.restoreCopy(); }
   void silenceServer(std::size_t node, bool silent);
   void setStoreFaults(std::size_t node, const StoreFaults& faults);
-  void setOrderFaults(std::size_t node, const OrderFaults& faults);
+  void setServerFaults(std::size_t node, const ServerFaults& faults);
   /// Lays the keys of two owners out in so many ranges that take turns, as many moves would.
-  void scatterRanges(std::size_t first, std::size_t second, std::size_t ranges);
+  void interleaveRanges(std::size_t first, std::size_t second, std::size_t ranges);
   /// Occupancy that the node's server shows from now on.
   void setOccupancy(std::size_t node, double occupancy);
   /// Share of failed requests that the node's server shows from now on.
-  void setFailing(std::size_t node, double share);
-  void addKeyWork(std::size_t node, Key key, int requests);
-  /// As `addKeyWork`, for each of the keys looked at.
-  void addWorkOnAllKeys(std::size_t node, int requests);
+  void setFailureRatio(std::size_t node, double share);
+  void addKeyRequests(std::size_t node, Key key, int requests);
+  /// As `addKeyRequests`, for each of the keys looked at.
+  void addRequestsOnSampledKeys(std::size_t node, int requests);
 
   /// @return how many keys, of those looked at, some node would begin requests for.
   std::size_t servedKeys() const;
-  std::size_t sampledKeys() const { return kSamples; }
+  std::size_t sampledKeys() const { return kSampleCount; }
   /// @return what the node tells who asks it for the key in vain.
   OwnerHint hint(std::size_t node, Key key) const;
   /// @return who would begin requests for each of the keys looked at; none where nobody would.
@@ -100,29 +100,29 @@
   const std::vector<std::string>& violations() const { return checks_.violations(); }
 
  private:
-  static constexpr std::size_t kSamples = OwnershipChecks::kSamples;
+  static constexpr std::size_t kSampleCount = OwnershipChecks::kSampleCount;
   struct Node;
-  class Orders;
+  class ServerCommandChannel;
 
   bool serves(const Node& node, Key key) const;
   void startProcess(Node& node);
-  void tellEvacuations(Node& node);
+  void applyEvacuations(Node& node);
   void readTable(Node& node);
   /// The server beside the node sends a heartbeat, and plans the next one.
-  void beat(Node& node);
+  void sendHeartbeat(Node& node);
   /// Plans a heartbeat, unless another one is sent before.
-  void beatAfter(Node& node, Duration pause);
-  void deliver(Node& node, const KeyReport& report, std::uint64_t sequence, TimePoint sent);
-  void tickNode(std::size_t index, std::uint64_t life);
+  void scheduleHeartbeat(Node& node, Duration pause);
+  void deliverHeartbeat(Node& node, const KeyReport& report, std::uint64_t sequence, TimePoint sent);
+  void tickNode(std::size_t index, std::uint64_t process_generation);
   /// Every live node hears what the node's server shows.
-  void tellLoad(std::size_t node);
-  void spreadRecords();
-  void spreadTable();
+  void reportLoad(std::size_t node);
+  void propagateRecords();
+  void propagateTable();
   /// Other live nodes hear of the node's lease, as from its replies.
-  void tellLease(const Node& from);
+  void reportLease(const Node& from);
   /// @return all servers that run.
   OwnershipChecks::Servers running() const;
-  void noteTake(const SimulatedServer& server, Key first, Key last, FenceToken token);
+  void checkAcquisition(const SimulatedServer& server, Key first, Key last, FenceToken token);
   bool happens(double chance);
 
   VirtualTime time_;
@@ -133,7 +133,7 @@
   std::set<ZoneName> evacuated_;
   std::uint64_t last_instance_ = 0;
   std::uint64_t last_incarnation_ = 0;
-  StoreRevision spread_;
+  StoreRevision propagated_revision_;
   OwnershipChecks checks_;
 };
 
--- a/source/lab/sim/ownership_world_heartbeats.cc
+++ b/source/lab/sim/ownership_world_heartbeats.cc
@@ -13,70 +13,71 @@
 using std::chrono::seconds;
 
 /// Between heartbeats, and while keys are let go of.
-constexpr Duration kHeartbeat = milliseconds(870);
-constexpr Duration kUrgentHeartbeat = milliseconds(100);
+constexpr Duration kHeartbeatInterval = milliseconds(870);
+constexpr Duration kUrgentHeartbeatInterval = milliseconds(100);
 /// An acknowledgement that comes later after its heartbeat was sent counts for nothing.
 constexpr Duration kAcknowledgementLimit = seconds(1);
 
 }  // namespace
 
-void OwnershipWorld::beat(Node& node) {
+void SimulatedCluster::sendHeartbeat(Node& node) {
   const std::shared_ptr<SimulatedServer> server = node.server;
   const KeyReport report = server->assigned.report();
   const TimePoint sent = time_.now();
   const std::uint64_t sequence = ++node.last_sequence;
-  const OrderFaults& faults = node.order_faults;
+  const ServerFaults& faults = node.server_faults;
   const auto arrive = [this, &node, server, report, sequence, sent] {
     if (node.server == server) {
-      deliver(node, report, sequence, sent);
+      deliverHeartbeat(node, report, sequence, sent);
     }
   };
-  if (happens(faults.late)) {
+  if (happens(faults.late_probability)) {
     time_.after(milliseconds(2000 + random_.below(10000)), arrive);
   } else if (!faults.silent) {
     time_.after(kLoopbackDelay, arrive);
-    if (happens(faults.repeated)) {
+    if (happens(faults.duplicate_probability)) {
       time_.after(milliseconds(10 + random_.below(3000)), arrive);
     }
   }
-  beatAfter(node, server->assigned.isLettingGo() ? kUrgentHeartbeat : kHeartbeat);
+  scheduleHeartbeat(node, server->assigned.isReleasing() ? kUrgentHeartbeatInterval : kHeartbeatInterval);
 }
 
-void OwnershipWorld::beatAfter(Node& node, Duration pause) {
+void SimulatedCluster::scheduleHeartbeat(Node& node, Duration pause) {
   time_.after(pause, [this, &node, server = node.server, sequence = node.last_sequence] {
     if (node.server == server && node.last_sequence == sequence) {
-      beat(node);
+      sendHeartbeat(node);
     }
   });
 }
 
-void OwnershipWorld::deliver(Node& node, const KeyReport& report, std::uint64_t sequence, TimePoint sent) {
-  if (!node.keeper || node.paused) {
+void SimulatedCluster::deliverHeartbeat(Node& node, const KeyReport& report, std::uint64_t sequence, TimePoint sent) {
+  if (!node.manager || node.paused) {
     return;
   }
   const std::shared_ptr<SimulatedServer> server = node.server;
-  const bool lost = happens(node.order_faults.unacknowledged);
+  const bool lost = happens(node.server_faults.lost_acknowledgement_probability);
   const auto reply = [this, &node, server, report, sent, lost](const std::optional<KeyAssignment>& assignment) {
     time_.after(kLoopbackDelay, [this, &node, server, report, sent, lost, assignment] {
       if (lost || node.server != server || time_.now() - sent >= kAcknowledgementLimit) {
         return;
       }
       for (const AssignedRange& range : server->assigned.onAcknowledged(assignment, report.released, sent)) {
-        std::fill(server->taken.begin() + range.first, server->taken.begin() + range.last + 1, range.token);
-        noteTake(*server, range.first, range.last, range.token);
+        std::fill(server->acquired_tokens.begin() + range.first, server->acquired_tokens.begin() + range.last + 1,
+                  range.token);
+        checkAcquisition(*server, range.first, range.last, range.token);
       }
-      if (server->assigned.isLettingGo()) {
-        beatAfter(node, kUrgentHeartbeat);
+      if (server->assigned.isReleasing()) {
+        scheduleHeartbeat(node, kUrgentHeartbeatInterval);
       }
     });
   };
-  std::uint64_t& newest = node.sequences[server->instance];
+  std::uint64_t& newest = node.latest_sequences[server->instance];
   if (sequence <= newest) {
     reply(std::nullopt);
     return;
   }
   newest = sequence;
-  node.keeper->onKeyReport(report);
+  node.manager->onKeyReport(report);
   node.responder->onHeartbeat(report, reply);
 }
 
--- a/source/lab/sim/ownership_world_node.h
+++ b/source/lab/sim/ownership_world_node.h
@@ -15,43 +15,43 @@
 /// From a process to the server beside it, one way.
 inline constexpr Duration kLoopbackDelay = std::chrono::milliseconds(1);
 /// An order without an answer for so long is taken as lost.
-inline constexpr Duration kOrderTimeout = std::chrono::milliseconds(300);
+inline constexpr Duration kCommandTimeout = std::chrono::milliseconds(300);
 
-struct OwnershipWorld::Node {
+struct SimulatedCluster::Node {
   std::size_t index = 0;
-  std::unique_ptr<VirtualMetadataStore> way_to_store;
+  std::unique_ptr<VirtualMetadataStore> virtual_store;
   std::unique_ptr<RestorableStore> store;
-  std::unique_ptr<Orders> orders;
+  std::unique_ptr<ServerCommandChannel> commands;
   std::unique_ptr<ServerDirectory> directory;
-  std::unique_ptr<OwnershipManager> keeper;
+  std::unique_ptr<OwnershipManager> manager;
   std::unique_ptr<HeartbeatResponder> responder;
   /// Of the present process: the newest heartbeat of each life of the server, and whether the store has told the table.
-  std::map<InstanceId, std::uint64_t> sequences;
+  std::map<InstanceId, std::uint64_t> latest_sequences;
   bool table_read = false;
   /// Table that others tell a process that starts.
-  MetadataObject told_table;
+  MetadataObject peer_table;
   /// Of the present life of the server: its heartbeats so far.
   std::uint64_t last_sequence = 0;
   /// Null while no server runs.
   std::shared_ptr<SimulatedServer> server;
-  OrderFaults order_faults;
+  ServerFaults server_faults;
   StoreFaults store_faults;
   NodeRecord record;
   double occupancy = 0;
-  double failing = 0;
+  double failure_ratio = 0;
   /// Of the process that was killed last.
   TimePoint lease_until{};
   /// Numbers the lives of the process; ticks of an earlier one do nothing.
-  std::uint64_t life = 0;
+  std::uint64_t process_generation = 0;
   bool paused = false;
-  bool knows_records_alone = false;
+  bool knows_records_only = false;
 };
 
 /// The way from a node to its server.
 /// What is under way refers to the world and the node, never to this object: a restarted process has a new one.
-class OwnershipWorld::Orders final : public ServerCommands {
+class SimulatedCluster::ServerCommandChannel final : public ServerCommands {
  public:
-  Orders(OwnershipWorld& world, Node& node) : world_(world), node_(node) {}
+  ServerCommandChannel(SimulatedCluster& world, Node& node) : world_(world), node_(node) {}
 
   void grant(const GrantCommand& order, std::function<void(CommandStatus)> done) override {
     const auto apply = [&world = world_, order](SimulatedServer& server, bool late) {
@@ -59,7 +59,7 @@
         return CommandStatus::Superseded;
       }
       if (!late) {
-        world.noteTake(server, order.first, order.last, order.token);
+        world.checkAcquisition(server, order.first, order.last, order.token);
       }
       return CommandStatus::Done;
     };
@@ -79,7 +79,7 @@
             std::function<void(Answer)> done) {
     VirtualTime& time = world_.time_;
     const std::shared_ptr<SimulatedServer> server = node_.server;
-    const auto alive = node_.way_to_store->alive;
+    const auto alive = node_.virtual_store->alive;
     const auto tell = [alive, done](const Answer& answer) {
       if (*alive) {
         done(answer);
@@ -89,13 +89,13 @@
       time.after(kLoopbackDelay, [tell, gone] { tell(gone); });
       return;
     }
-    const bool late = world_.happens(node_.order_faults.late);
-    if (node_.order_faults.silent || late) {
+    const bool late = world_.happens(node_.server_faults.late_probability);
+    if (node_.server_faults.silent || late) {
       if (late) {
         time.after(std::chrono::milliseconds(2000 + world_.random_.below(10000)),
                    [apply, server] { apply(*server, true); });
       }
-      time.after(kOrderTimeout, [tell, no_answer] { tell(no_answer); });
+      time.after(kCommandTimeout, [tell, no_answer] { tell(no_answer); });
       return;
     }
     time.after(kLoopbackDelay, [&node = node_, apply, server, tell, gone] {
@@ -103,7 +103,7 @@
     });
   }
 
-  OwnershipWorld& world_;
+  SimulatedCluster& world_;
   Node& node_;
 };
 
--- a/source/lab/sim/scenario.cc
+++ b/source/lab/sim/scenario.cc
@@ -14,20 +14,20 @@
 
 namespace {
 
-constexpr std::size_t kMostNodes = 200;
+constexpr std::size_t kMaxNodes = 200;
 
-struct FaultWord {
+struct FaultName {
   const char* word;
   FaultKind kind;
 };
 
-constexpr std::array<FaultWord, 10> kFaultWords{{
+constexpr std::array<FaultName, 10> kFaultNames{{
     {"kill-node", FaultKind::KillNode},
     {"pause-node", FaultKind::PauseNode},
     {"kill-server", FaultKind::KillServer},
     {"drain-server", FaultKind::DrainServer},
     {"silence-server", FaultKind::SilenceServer},
-    {"late-orders", FaultKind::LateOrders},
+    {"late-orders", FaultKind::LateCommands},
     {"store-down", FaultKind::StoreDown},
     {"store-lossy", FaultKind::StoreLossy},
     {"store-restored", FaultKind::StoreRestored},
@@ -43,12 +43,12 @@
     Scenario scenario;
     scenario.name = document.value("name", std::string("unnamed"));
     const json nodes = document.value("nodes", json(scenario.nodes));
-    if (!nodes.is_number_unsigned() || nodes.get<std::size_t>() == 0 || nodes.get<std::size_t>() > kMostNodes) {
-      findings_.add("nodes", "must be a whole number from 1 to " + std::to_string(kMostNodes));
+    if (!nodes.is_number_unsigned() || nodes.get<std::size_t>() == 0 || nodes.get<std::size_t>() > kMaxNodes) {
+      findings_.add("nodes", "must be a whole number from 1 to " + std::to_string(kMaxNodes));
     } else {
       scenario.nodes = nodes.get<std::size_t>();
     }
-    scenario.length = duration(document, "length", "length", scenario.length);
+    scenario.duration = duration(document, "length", "length", scenario.duration);
     const json ownership = document.value("ownership", json::object());
     for (const auto& [name, value] : ownership.items()) {
       const std::string text = value.is_string() ? value.get<std::string>() : value.dump();
@@ -86,7 +86,7 @@
     }
     fault.kind = kindOf(object.value("kind", std::string()), place);
     fault.at = duration(object, "at", place + "/at", fault.at);
-    fault.length = duration(object, "for", place + "/for", fault.length);
+    fault.duration = duration(object, "for", place + "/for", fault.duration);
     const json struck = object.value("nodes", json::array());
     for (const json& node : struck) {
       if (!node.is_number_unsigned() || node.get<std::size_t>() >= nodes) {
@@ -105,7 +105,7 @@
 
   FaultKind kindOf(const std::string& word, const std::string& place) {
     std::string known;
-    for (const FaultWord& row : kFaultWords) {
+    for (const FaultName& row : kFaultNames) {
       if (word == row.word) {
         return row.kind;
       }
--- a/source/lab/sim/scenario.h
+++ b/source/lab/sim/scenario.h
@@ -18,7 +18,7 @@
   KillServer,     ///< the server ends; a new life begins after the fault's length
   DrainServer,    ///< the server leaves; a new life begins after the fault's length
   SilenceServer,  ///< the server carries no order out
-  LateOrders,     ///< half of the orders to the server are carried out seconds later
+  LateCommands,   ///< half of the orders to the server are carried out seconds later
   StoreDown,      ///< the store can't be reached
   StoreLossy,     ///< a third of the writes lose their answer, a fifth come seconds late
   StoreRestored,  ///< after the fault's length the store goes back to what it held at its beginning; nodes don't matter
@@ -28,7 +28,7 @@
 struct Fault {
   FaultKind kind = FaultKind::KillNode;
   Duration at{};
-  Duration length{};
+  Duration duration{};
   /// Nodes that it strikes.
   std::vector<std::size_t> nodes;
 };
@@ -37,7 +37,7 @@
   std::string name;
   std::size_t nodes = 4;
   /// Time played after all keys are served for the first time.
-  Duration length = std::chrono::seconds(40);
+  Duration duration = std::chrono::seconds(40);
   OwnershipConfig ownership;
   std::vector<Fault> faults;
 };
--- a/source/lab/sim/sim_command.cc
+++ b/source/lab/sim/sim_command.cc
@@ -62,18 +62,19 @@
 }
 
 /// A scenario under one set of values.
-struct Play {
+struct SimulationCase {
   Scenario scenario;
   std::string variant;
 };
 
-void addPlays(const std::string& file, const SimOptions& given, std::vector<Play>& plays, Findings& findings) {
+void addCases(const std::string& file, const SimOptions& given, std::vector<SimulationCase>& plays,
+              Findings& findings) {
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         BOOST_LEAF_AUTO(scenario, readScenario(file));
         plays.push_back({scenario, "-"});
         for (const std::string& variant : given.variants) {
-          Play play{scenario, variant};
+          SimulationCase play{scenario, variant};
           std::istringstream parts(variant);
           for (std::string part; std::getline(parts, part, ',');) {
             const std::string wrong = applyVariant(part, play.scenario.ownership);
@@ -109,14 +110,14 @@
 
 /// Plays all seeds and adds one row.
 /// @return how many promises were broken.
-std::size_t addRow(const Play& play, const SimOptions& given, TextTable& table) {
+std::size_t addRow(const SimulationCase& play, const SimOptions& given, TextTable& table) {
   Duration mean{};
   Duration longest{};
   double churn = 0;
   std::uint64_t changes = 0;
   std::size_t broken = 0;
   for (std::uint64_t i = 0; i < given.seeds; ++i) {
-    const SimulationMeasures measures = simulate(play.scenario, given.first_seed + i);
+    const SimulationResult measures = simulate(play.scenario, given.first_seed + i);
     mean += measures.unavailable_mean;
     longest = std::max(longest, measures.unavailable_longest);
     churn += measures.churn;
@@ -136,9 +137,9 @@
 
 int run(const SimOptions& given) {
   Findings findings;
-  std::vector<Play> plays;
+  std::vector<SimulationCase> plays;
   for (const std::string& file : given.files) {
-    addPlays(file, given, plays, findings);
+    addCases(file, given, plays, findings);
   }
   if (!findings.empty()) {
     std::cerr << toString(findings);
@@ -147,7 +148,7 @@
   TextTable table(
       {"scenario", "variant", "plays", "unavailable-mean-s", "longest-s", "churn", "store-changes", "broken"});
   std::size_t broken = 0;
-  for (const Play& play : plays) {
+  for (const SimulationCase& play : plays) {
     broken += addRow(play, given, table);
   }
   constexpr int kIndent = 2;
--- a/source/lab/sim/simulated_server.h
+++ b/source/lab/sim/simulated_server.h
@@ -17,7 +17,7 @@
  public:
   SimulatedServer(VirtualTime& time, InstanceId instance);
 
-  // Orders; a server that takes its keys by heartbeat gets none.
+  // ServerCommandChannel; a server that takes its keys by heartbeat gets none.
 
   /// @param late the order is carried out long after it was sent: it counts for the tokens seen alone. Its process may
   ///   have lost the key by then, and only that could send the server a request for it.
@@ -26,7 +26,7 @@
   std::string release(const ReleaseCommand& order);
 
   /// Holds nothing until it is granted anew.
-  void forgetAll();
+  void dropAllKeys();
   /// @return whether it begins requests for the key, by a grant that was not taken late.
   bool holds(Key key) const;
   /// @return as `holds`, or whether it still works on requests for the key within its lease.
@@ -36,11 +36,11 @@
   /// What it was told in acknowledgements.
   AssignedKeys assigned;
   /// Highest token with which it took each key by a grant that was not taken late.
-  std::vector<FenceToken> taken;
+  std::vector<FenceToken> acquired_tokens;
 
  private:
   VirtualTime& time_;
-  std::vector<FenceToken> seen_;
+  std::vector<FenceToken> max_tokens_;
   /// By grants that were not taken late.
   std::vector<TimePoint> until_;
 };
--- a/source/lab/sim/simulation.cc
+++ b/source/lab/sim/simulation.cc
@@ -12,94 +12,98 @@
 /// Before faults begin, all keys are divided and granted.
 constexpr Duration kWarmUp = std::chrono::seconds(6);
 constexpr Duration kStep = std::chrono::milliseconds(20);
-constexpr double kLostShare = 0.33;
-constexpr double kLateShare = 0.2;
-constexpr double kLateOrderShare = 0.5;
+constexpr double kLostAnswerProbability = 0.33;
+constexpr double kLateWriteProbability = 0.2;
+constexpr double kLateCommandProbability = 0.5;
 constexpr double kFullOccupancy = 1.2;
 constexpr int kBusyRequests = 20;
 
 /// Something that happens to one node at one time of the play.
-struct Step {
+struct ScheduledAction {
   Duration at{};
-  std::function<void(OwnershipWorld&)> act;
+  std::function<void(SimulatedCluster&)> act;
 };
 
-using NodeAction = void (OwnershipWorld::*)(std::size_t);
+using NodeAction = void (SimulatedCluster::*)(std::size_t);
 
-void addPair(std::vector<Step>& steps, const Fault& fault, std::size_t node, NodeAction begin, NodeAction end) {
-  steps.push_back({fault.at, [node, begin](OwnershipWorld& world) { (world.*begin)(node); }});
-  steps.push_back({fault.at + fault.length, [node, end](OwnershipWorld& world) { (world.*end)(node); }});
+void addPair(std::vector<ScheduledAction>& steps, const Fault& fault, std::size_t node, NodeAction begin,
+             NodeAction end) {
+  steps.push_back({fault.at, [node, begin](SimulatedCluster& world) { (world.*begin)(node); }});
+  steps.push_back({fault.at + fault.duration, [node, end](SimulatedCluster& world) { (world.*end)(node); }});
 }
 
 template <class Faults>
-void addSetting(std::vector<Step>& steps, const Fault& fault, std::size_t node,
-                void (OwnershipWorld::*set)(std::size_t, const Faults&), const Faults& faults) {
-  steps.push_back({fault.at, [node, set, faults](OwnershipWorld& world) { (world.*set)(node, faults); }});
-  steps.push_back({fault.at + fault.length, [node, set](OwnershipWorld& world) { (world.*set)(node, Faults{}); }});
+void addSetting(std::vector<ScheduledAction>& steps, const Fault& fault, std::size_t node,
+                void (SimulatedCluster::*set)(std::size_t, const Faults&), const Faults& faults) {
+  steps.push_back({fault.at, [node, set, faults](SimulatedCluster& world) { (world.*set)(node, faults); }});
+  steps.push_back({fault.at + fault.duration, [node, set](SimulatedCluster& world) { (world.*set)(node, Faults{}); }});
 }
 
 /// What happens to the store itself, whatever the nodes.
-void addStoreFault(std::vector<Step>& steps, const Fault& fault) {
+void addStoreFault(std::vector<ScheduledAction>& steps, const Fault& fault) {
   if (fault.kind == FaultKind::StoreRestored) {
-    steps.push_back({fault.at, [](OwnershipWorld& world) { world.copyStore(); }});
-    steps.push_back({fault.at + fault.length, [](OwnershipWorld& world) { world.restoreStore(); }});
+    steps.push_back({fault.at, [](SimulatedCluster& world) { world.copyStore(); }});
+    steps.push_back({fault.at + fault.duration, [](SimulatedCluster& world) { world.restoreStore(); }});
   }
 }
 
-void addFault(std::vector<Step>& steps, const Fault& fault, std::size_t node) {
+void addFault(std::vector<ScheduledAction>& steps, const Fault& fault, std::size_t node) {
   switch (fault.kind) {
     case FaultKind::KillNode:
-      addPair(steps, fault, node, &OwnershipWorld::killNode, &OwnershipWorld::restartNode);
+      addPair(steps, fault, node, &SimulatedCluster::killNode, &SimulatedCluster::restartNode);
       return;
     case FaultKind::PauseNode:
-      addPair(steps, fault, node, &OwnershipWorld::pauseNode, &OwnershipWorld::resumeNode);
+      addPair(steps, fault, node, &SimulatedCluster::pauseNode, &SimulatedCluster::resumeNode);
       return;
     case FaultKind::KillServer:
-      addPair(steps, fault, node, &OwnershipWorld::killServer, &OwnershipWorld::startServer);
+      addPair(steps, fault, node, &SimulatedCluster::killServer, &SimulatedCluster::startServer);
       return;
     case FaultKind::DrainServer:
-      addPair(steps, fault, node, &OwnershipWorld::drainServer, &OwnershipWorld::startServer);
+      addPair(steps, fault, node, &SimulatedCluster::drainServer, &SimulatedCluster::startServer);
       return;
     case FaultKind::SilenceServer:
-      addSetting(steps, fault, node, &OwnershipWorld::setOrderFaults, OrderFaults{true, 0});
+      addSetting(steps, fault, node, &SimulatedCluster::setServerFaults, ServerFaults{true, 0});
       return;
-    case FaultKind::LateOrders:
-      addSetting(steps, fault, node, &OwnershipWorld::setOrderFaults, OrderFaults{false, kLateOrderShare});
+    case FaultKind::LateCommands:
+      addSetting(steps, fault, node, &SimulatedCluster::setServerFaults, ServerFaults{false, kLateCommandProbability});
       return;
     case FaultKind::StoreDown:
-      addSetting(steps, fault, node, &OwnershipWorld::setStoreFaults, StoreFaults{true, 0, 0});
+      addSetting(steps, fault, node, &SimulatedCluster::setStoreFaults, StoreFaults{true, 0, 0});
       return;
     case FaultKind::StoreLossy:
-      addSetting(steps, fault, node, &OwnershipWorld::setStoreFaults, StoreFaults{false, kLostShare, kLateShare});
+      addSetting(steps, fault, node, &SimulatedCluster::setStoreFaults,
+                 StoreFaults{false, kLostAnswerProbability, kLateWriteProbability});
       return;
     case FaultKind::StoreRestored:
       return;
     case FaultKind::Busy:
-      steps.push_back({fault.at, [node](OwnershipWorld& world) {
+      steps.push_back({fault.at, [node](SimulatedCluster& world) {
                          world.setOccupancy(node, kFullOccupancy);
-                         world.addWorkOnAllKeys(node, kBusyRequests);
+                         world.addRequestsOnSampledKeys(node, kBusyRequests);
                        }});
-      steps.push_back({fault.at + fault.length, [node](OwnershipWorld& world) { world.setOccupancy(node, 0); }});
+      steps.push_back({fault.at + fault.duration, [node](SimulatedCluster& world) { world.setOccupancy(node, 0); }});
       return;
   }
 }
 
-std::vector<Step> stepsOf(const Scenario& scenario) {
-  std::vector<Step> steps;
+std::vector<ScheduledAction> stepsOf(const Scenario& scenario) {
+  std::vector<ScheduledAction> steps;
   for (const Fault& fault : scenario.faults) {
     addStoreFault(steps, fault);
     for (const std::size_t node : fault.nodes) {
       addFault(steps, fault, node);
     }
   }
-  std::stable_sort(steps.begin(), steps.end(), [](const Step& left, const Step& right) { return left.at < right.at; });
+  std::stable_sort(steps.begin(), steps.end(),
+                   [](const ScheduledAction& left, const ScheduledAction& right) { return left.at < right.at; });
   return steps;
 }
 
 /// Follows who serves each key from step to step.
-class ServingMeter {
+class AvailabilityMeter {
  public:
-  explicit ServingMeter(const std::vector<std::optional<std::size_t>>& first) : last_(first), gaps_(first.size()) {}
+  explicit AvailabilityMeter(const std::vector<std::optional<std::size_t>>& first)
+      : last_(first), gaps_(first.size()) {}
 
   void add(const std::vector<std::optional<std::size_t>>& now) {
     for (std::size_t key = 0; key < now.size(); ++key) {
@@ -115,7 +119,7 @@
     }
   }
 
-  void tell(SimulationMeasures& measures) const {
+  void tell(SimulationResult& measures) const {
     const auto keys = static_cast<Duration::rep>(last_.size());
     measures.unavailable_mean = unserved_ / keys;
     measures.unavailable_longest = longest_;
@@ -132,13 +136,13 @@
 
 }  // namespace
 
-SimulationMeasures simulate(const Scenario& scenario, std::uint64_t seed) {
-  OwnershipWorld world(scenario.nodes, seed, scenario.ownership);
+SimulationResult simulate(const Scenario& scenario, std::uint64_t seed) {
+  SimulatedCluster world(scenario.nodes, seed, scenario.ownership);
   world.run(kWarmUp);
-  const std::vector<Step> steps = stepsOf(scenario);
-  ServingMeter meter(world.servingNodes());
+  const std::vector<ScheduledAction> steps = stepsOf(scenario);
+  AvailabilityMeter meter(world.servingNodes());
   auto next = steps.begin();
-  for (Duration passed{}; passed < scenario.length; passed += kStep) {
+  for (Duration passed{}; passed < scenario.duration; passed += kStep) {
     while (next != steps.end() && next->at <= passed) {
       next->act(world);
       ++next;
@@ -146,7 +150,7 @@
     world.run(kStep);
     meter.add(world.servingNodes());
   }
-  SimulationMeasures measures;
+  SimulationResult measures;
   meter.tell(measures);
   measures.store_changes = world.storeChanges();
   measures.violations = world.violations();
--- a/source/lab/sim/simulation.h
+++ b/source/lab/sim/simulation.h
@@ -8,7 +8,7 @@
 namespace shedlever::sim {
 
 /// What one play has shown. Shares are of the keys looked at.
-struct SimulationMeasures {
+struct SimulationResult {
   /// Mean time that a key was served by nobody.
   Duration unavailable_mean{};
   /// Longest time in a row that some key was served by nobody.
@@ -22,6 +22,6 @@
 };
 
 /// The same scenario and seed give the same measures.
-SimulationMeasures simulate(const Scenario& scenario, std::uint64_t seed);
+SimulationResult simulate(const Scenario& scenario, std::uint64_t seed);
 
 }  // namespace shedlever::sim
--- a/source/lab/sim/virtual_store.cc
+++ b/source/lab/sim/virtual_store.cc
@@ -41,7 +41,7 @@
 
 StoreRevision StoreState::nextRevision() { return {epoch_, ++changes_}; }
 
-bool StoreState::misses(const StoreRevision& condition, const MetadataObject& object) {
+bool StoreState::conflicts(const StoreRevision& condition, const MetadataObject& object) {
   return !condition.none() && condition.count != object.revision.count;
 }
 
@@ -76,7 +76,7 @@
   if (found == objects_.end()) {
     return answer(StoreStatus::Absent);
   }
-  if (misses(object.revision, found->second)) {
+  if (conflicts(object.revision, found->second)) {
     return answer(StoreStatus::Conflict, found->second);
   }
   found->second.value = object.value;
@@ -90,7 +90,7 @@
   if (found == objects_.end()) {
     return answer(StoreStatus::Absent);
   }
-  if (misses(revision, found->second)) {
+  if (conflicts(revision, found->second)) {
     return answer(StoreStatus::Conflict, found->second);
   }
   const MetadataObject removed = found->second;
@@ -137,13 +137,13 @@
     unanswered();
     return;
   }
-  if (happens(faults.late)) {
+  if (happens(faults.late_write_probability)) {
     const auto delay = milliseconds(1000 + random_.below(5000));
     time_.after(delay, [apply] { apply(); });
     unanswered();
     return;
   }
-  if (happens(faults.lost)) {
+  if (happens(faults.lost_answer_probability)) {
     time_.after(kStoreDelay, [apply] { apply(); });
     unanswered();
     return;
--- a/source/lab/sim/virtual_store.h
+++ b/source/lab/sim/virtual_store.h
@@ -72,7 +72,7 @@
   using Objects = std::map<std::pair<std::string, std::string>, MetadataObject>;
 
   /// @return whether the condition of a write names another revision than the object's. As on the wire it has no epoch.
-  static bool misses(const StoreRevision& condition, const MetadataObject& object);
+  static bool conflicts(const StoreRevision& condition, const MetadataObject& object);
   StoreAnswer answer(StoreStatus status, const MetadataObject& object = {}) const;
   StoreRevision nextRevision();
 
@@ -88,9 +88,9 @@
 struct StoreFaults {
   bool down = false;
   /// Chance that a write is done and its answer lost.
-  double lost = 0;
+  double lost_answer_probability = 0;
   /// Chance that a write is done up to some seconds later, without an answer.
-  double late = 0;
+  double late_write_probability = 0;
 };
 
 /// One node's way to the store.
--- a/standins/router/key_server.cc
+++ b/standins/router/key_server.cc
@@ -104,7 +104,7 @@
                     }
                     onAcknowledged(exchange, keys, sent);
                   });
-  reportAfter(assigned_.isLettingGo() ? kUrgentReportInterval : kReportInterval);
+  reportAfter(assigned_.isReleasing() ? kUrgentReportInterval : kReportInterval);
 }
 
 void KeyServer::reportAfter(Duration pause) {
@@ -131,7 +131,7 @@
   for (const AssignedRange& range : assigned_.onAcknowledged(assignment, reported.released, sent)) {
     log("take " + std::to_string(range.first) + " " + std::to_string(range.last) + " " + std::to_string(range.token));
   }
-  if (assigned_.isLettingGo()) {
+  if (assigned_.isReleasing()) {
     reportAfter(kUrgentReportInterval);
   }
 }
--- a/test/core_router/claim_manager_test.cc
+++ b/test/core_router/claim_manager_test.cc
@@ -176,7 +176,7 @@
 }
 
 TEST_F(ClaimManagerTest, UndecidedClaimIsUnavailableAtItsDeadlineAndItsKeyIsFreedLater) {
-  first_.store->faults.late = 1.0;
+  first_.store->faults.late_write_probability = 1.0;
   const auto late = cluster_.acquire(first_, "k", "r1", milliseconds(800));
   cluster_.run(seconds(1));
   ASSERT_EQ(verdictOf(late), ClaimVerdict::Unavailable);
--- a/test/core_router/evacuation_ownership_test.cc
+++ b/test/core_router/evacuation_ownership_test.cc
@@ -44,18 +44,18 @@
   /// Heartbeats come once a second: an ordered release by them takes two.
   Duration handover() const { return GetParam() == GrantDelivery::Request ? kHandover : kHandover * 2; }
 
-  OwnershipWorld world_{4, kSeed, config()};
+  SimulatedCluster world_{4, kSeed, config()};
 };
 
 TEST_P(EvacuationOwnershipTest, KeysGoToOtherZonesAndAreServedThere) {
-  world_.evacuate(1, true);
+  world_.setEvacuated(1, true);
   world_.run(handover());
   expectServedByOthersThan({1});
 }
 
 TEST_P(EvacuationOwnershipTest, TwoZonesAtOnce) {
-  world_.evacuate(1, true);
-  world_.evacuate(2, true);
+  world_.setEvacuated(1, true);
+  world_.setEvacuated(2, true);
   world_.run(handover());
   expectServedByOthersThan({1, 2});
 }
@@ -63,7 +63,7 @@
 // Nothing can be served: no key may go to a server that is to get nothing.
 TEST_P(EvacuationOwnershipTest, AllZonesKeepTheirKeysAndNobodyTakesAny) {
   for (std::size_t node = 0; node < 4; ++node) {
-    world_.evacuate(node, true);
+    world_.setEvacuated(node, true);
   }
   const std::uint64_t changes = world_.storeChanges();
   world_.run(seconds(2));
@@ -71,7 +71,7 @@
 }
 
 TEST_P(EvacuationOwnershipTest, NewLifeOfAServerThereGetsNoKeys) {
-  world_.evacuate(1, true);
+  world_.setEvacuated(1, true);
   world_.run(milliseconds(100));
   world_.killServer(1);
   world_.run(milliseconds(300));
@@ -81,7 +81,7 @@
 }
 
 TEST_P(EvacuationOwnershipTest, ProcessThatStartsMeanwhileKeepsNone) {
-  world_.evacuate(1, true);
+  world_.setEvacuated(1, true);
   world_.killNode(1);
   world_.run(milliseconds(300));
   world_.restartNode(1);
@@ -90,15 +90,15 @@
 }
 
 TEST_P(EvacuationOwnershipTest, WithdrawnHalfwayAllIsServed) {
-  world_.evacuate(1, true);
+  world_.setEvacuated(1, true);
   world_.run(milliseconds(250));
-  world_.evacuate(1, false);
+  world_.setEvacuated(1, false);
   world_.run(seconds(3));
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
 TEST_P(EvacuationOwnershipTest, DuringAReleaseInTurnsNoKeyIsLost) {
-  world_.evacuate(1, true);
+  world_.setEvacuated(1, true);
   world_.drainServer(2);
   world_.run(handover() + seconds(1));
   expectServedByOthersThan({1, 2});
@@ -107,16 +107,16 @@
 // Half of all orders get no answer and are carried out 2 to 12 s later, after newer ones; so are heartbeats.
 TEST_P(EvacuationOwnershipTest, LateOrdersLeaveNoKeyWithTwoOwners) {
   for (std::size_t node = 0; node < 4; ++node) {
-    world_.setOrderFaults(node, {false, 0.5, 0, 0});
+    world_.setServerFaults(node, {false, 0.5, 0, 0});
   }
   for (const std::size_t node : {1U, 2U, 1U}) {
-    world_.evacuate(node, true);
+    world_.setEvacuated(node, true);
     world_.run(seconds(5));
-    world_.evacuate(node, false);
+    world_.setEvacuated(node, false);
     world_.run(seconds(2));
   }
   for (std::size_t node = 0; node < 4; ++node) {
-    world_.setOrderFaults(node, {});
+    world_.setServerFaults(node, {});
   }
   // The last late order comes 12 s after it was sent.
   world_.run(seconds(16));
--- a/test/core_router/heartbeat_ownership_test.cc
+++ b/test/core_router/heartbeat_ownership_test.cc
@@ -32,9 +32,9 @@
 
   void expectAllServed() { EXPECT_EQ(world_.servedKeys(), world_.sampledKeys()); }
   void expectHasItsKeys(std::size_t node) { EXPECT_EQ(world_.servedBy(node), world_.sampledKeys() / kNodes); }
-  void setOrderFaults(const OrderFaults& faults) {
+  void setServerFaults(const ServerFaults& faults) {
     for (std::size_t node = 0; node < kNodes; ++node) {
-      world_.setOrderFaults(node, faults);
+      world_.setServerFaults(node, faults);
     }
   }
   void setStoreFaults(const StoreFaults& faults) {
@@ -43,7 +43,7 @@
     }
   }
 
-  OwnershipWorld world_{kNodes, kSeed, byHeartbeat()};
+  SimulatedCluster world_{kNodes, kSeed, byHeartbeat()};
 };
 
 TEST_F(HeartbeatOwnershipTest, DividesKeysAtFirst) {
@@ -104,7 +104,7 @@
   setStoreFaults({true, 0, 0});
   world_.killNode(1);
   world_.run(milliseconds(500));
-  world_.restartNodeTold(1, before);
+  world_.restartNodeWithPeerTable(1, before);
   world_.run(seconds(3));
   EXPECT_EQ(world_.servedBy(1), 0U);
   expectAllServed();
@@ -120,7 +120,7 @@
   table.value = later.encode();
   ++table.revision.count;
   world_.killNode(1);
-  world_.restartNodeTold(1, table);
+  world_.restartNodeWithPeerTable(1, table);
   world_.run(milliseconds(1500));
   EXPECT_LT(world_.servedBy(1), world_.sampledKeys() / kNodes);
   EXPECT_GT(world_.servedBy(1), 0U);
@@ -142,24 +142,24 @@
 }
 
 TEST_F(HeartbeatOwnershipTest, LateAndRepeatedHeartbeatsBringNothingBack) {
-  setOrderFaults({false, 0.3, 0, 0.5});
+  setServerFaults({false, 0.3, 0, 0.5});
   for (const std::size_t node : {1U, 2U}) {
     world_.drainServer(node);
     world_.run(seconds(6));
     world_.startServer(node);
     world_.run(seconds(4));
   }
-  setOrderFaults({});
+  setServerFaults({});
   world_.run(seconds(14));
   expectAllServed();
 }
 
 TEST_F(HeartbeatOwnershipTest, LostAcknowledgementsLoseNoHandover) {
-  setOrderFaults({false, 0, 0.4, 0});
+  setServerFaults({false, 0, 0.4, 0});
   world_.drainServer(1);
   world_.run(seconds(8));
   EXPECT_EQ(world_.servedBy(1), 0U);
-  setOrderFaults({});
+  setServerFaults({});
   world_.run(seconds(6));
   expectAllServed();
 }
@@ -180,7 +180,7 @@
     world_.setOccupancy(node, 0.1);
   }
   for (Key key = 0; key < busy; ++key) {
-    world_.addKeyWork(0, key, 20);
+    world_.addKeyRequests(0, key, 20);
   }
   world_.run(seconds(3));
   EXPECT_LT(world_.servedBy(0), world_.sampledKeys() / kNodes);
@@ -192,7 +192,7 @@
 
 TEST_P(HeartbeatOwnershipSoakTest, KeepsOneOwnerUnderRandomFaults) {
   constexpr int kSteps = 40;
-  OwnershipWorld world(kNodes, GetParam(), byHeartbeat());
+  SimulatedCluster world(kNodes, GetParam(), byHeartbeat());
   SeededRandom random(GetParam() + 1);
   std::vector<bool> dead(kNodes, false);
   std::vector<bool> without_server(kNodes, false);
@@ -233,12 +233,12 @@
         world.setStoreFaults(node, {random.below(3) == 0, 0.2, 0.2});
         break;
       case 7:
-        world.setOrderFaults(node, {random.below(4) == 0, 0.2, 0.2, 0.2});
+        world.setServerFaults(node, {random.below(4) == 0, 0.2, 0.2, 0.2});
         break;
       case 8:
         world.killNode(node);
         world.run(milliseconds(random.below(1500)));
-        world.restartNodeTold(node, old_table);
+        world.restartNodeWithPeerTable(node, old_table);
         dead[node] = false;
         break;
       case 9:
--- a/test/core_router/ownership_test.cc
+++ b/test/core_router/ownership_test.cc
@@ -26,7 +26,7 @@
 
   void expectAllServed() { EXPECT_EQ(world_.servedKeys(), world_.sampledKeys()); }
 
-  OwnershipWorld world_{4, kSeed};
+  SimulatedCluster world_{4, kSeed};
 };
 
 TEST_F(OwnershipTest, DividesKeysEvenlyAtFirst) {
@@ -156,13 +156,13 @@
 
 TEST_F(OwnershipTest, OrdersCarriedOutLateHarmNothing) {
   for (std::size_t node = 0; node < 4; ++node) {
-    world_.setOrderFaults(node, {false, 0.4});
+    world_.setServerFaults(node, {false, 0.4});
   }
   world_.run(seconds(2));
   world_.drainServer(2);
   world_.run(seconds(15));
   for (std::size_t node = 0; node < 4; ++node) {
-    world_.setOrderFaults(node, {});
+    world_.setServerFaults(node, {});
   }
   world_.run(seconds(14));
   expectAllServed();
@@ -175,7 +175,7 @@
     world_.setOccupancy(node, 0.1);
   }
   for (Key key = 0; key < busy; ++key) {
-    world_.addKeyWork(0, key, 20);
+    world_.addKeyRequests(0, key, 20);
   }
   world_.run(seconds(2));
   EXPECT_LT(world_.servedBy(0), world_.sampledKeys() / 4);
@@ -185,7 +185,7 @@
 // Seen: two owners with seven ranges each, none beside another, tried to join them for good and gave
 // nothing away any more.
 TEST_F(OwnershipTest, OwnerOfManyScatteredRangesStillGivesWorkAway) {
-  world_.scatterRanges(0, 1, 16);
+  world_.interleaveRanges(0, 1, 16);
   world_.run(seconds(2));
   const std::size_t before = world_.servedBy(0);
   world_.setOccupancy(0, 1.5);
@@ -193,7 +193,7 @@
     world_.setOccupancy(node, 0.1);
   }
   for (std::uint32_t key = 0; key < kKeyCount; key += 16) {
-    world_.addKeyWork(0, static_cast<Key>(key), 10);
+    world_.addKeyRequests(0, static_cast<Key>(key), 10);
   }
   world_.run(seconds(2));
   EXPECT_LT(world_.servedBy(0), before);
@@ -202,7 +202,7 @@
 
 // Seen: a server whose health was good failed all its requests, and kept its keys.
 TEST_F(OwnershipTest, FailingServersKeysGoToSounderOnes) {
-  world_.setFailing(1, 0.9);
+  world_.setFailureRatio(1, 0.9);
   world_.run(seconds(2));
   EXPECT_EQ(world_.servedBy(1), 0U);
   expectAllServed();
@@ -212,7 +212,7 @@
   // Replies tell it again and again.
   for (int round = 0; round < 10; ++round) {
     for (std::size_t node = 0; node < 4; ++node) {
-      world_.setFailing(node, 0.8);
+      world_.setFailureRatio(node, 0.8);
     }
     world_.run(milliseconds(300));
   }
@@ -222,7 +222,7 @@
 }
 
 TEST_F(OwnershipTest, DeadServersKeysDontGoToAFailingOne) {
-  world_.setFailing(3, 0.9);
+  world_.setFailureRatio(3, 0.9);
   world_.killServer(1);
   world_.run(seconds(1));
   EXPECT_EQ(world_.servedBy(3), 0U);
@@ -238,7 +238,7 @@
   for (std::size_t node = 0; node < 3; ++node) {
     world_.setOccupancy(node, 1.0);
     for (std::uint32_t key = 0; key < kKeyCount; key += 16) {
-      world_.addKeyWork(node, static_cast<Key>(key), 10);
+      world_.addKeyRequests(node, static_cast<Key>(key), 10);
     }
   }
   world_.run(milliseconds(900));
@@ -255,13 +255,13 @@
   world_.run(seconds(14));
   for (std::size_t node = 0; node < gone; ++node) {
     world_.killNode(node);
-    world_.restartNodeWithRecordsAlone(node);
+    world_.restartNodeWithRecordsOnly(node);
   }
   world_.run(seconds(2));
   for (std::size_t node = 0; node < gone; ++node) {
     world_.setOccupancy(node, node == 0 ? 1.5 : 0.9);
     for (std::uint32_t key = 0; key < kKeyCount; key += 16) {
-      world_.addKeyWork(node, static_cast<Key>(key), 10);
+      world_.addKeyRequests(node, static_cast<Key>(key), 10);
     }
   }
   world_.run(seconds(3));
@@ -277,7 +277,7 @@
 TEST_P(OwnershipSoakTest, KeepsOneOwnerUnderRandomFaults) {
   constexpr std::size_t kNodes = 4;
   constexpr int kSteps = 40;
-  OwnershipWorld world(kNodes, GetParam());
+  SimulatedCluster world(kNodes, GetParam());
   SeededRandom random(GetParam() + 1);
   std::vector<bool> dead(kNodes, false);
   std::vector<bool> without_server(kNodes, false);
@@ -317,7 +317,7 @@
         world.setStoreFaults(node, {random.below(3) == 0, 0.2, 0.2});
         break;
       case 7:
-        world.setOrderFaults(node, {false, 0.3});
+        world.setServerFaults(node, {false, 0.3});
         break;
       default:
         if (!without_server[node]) {
--- a/test/core_router/restored_store_ownership_test.cc
+++ b/test/core_router/restored_store_ownership_test.cc
@@ -38,7 +38,7 @@
     ASSERT_EQ(world_.servedBy(node), 0U);
   }
 
-  OwnershipWorld world_{kNodes, kSeed, configOf(GetParam())};
+  SimulatedCluster world_{kNodes, kSeed, configOf(GetParam())};
 };
 
 TEST_P(RestoredStoreOwnershipTest, KeysStayWhereTheyWereMovedThoughTheStoreLostTheMove) {
@@ -53,7 +53,7 @@
 }
 
 TEST_P(RestoredStoreOwnershipTest, TableOfWhichTheCopyHasNothingIsWrittenAgain) {
-  OwnershipWorld world(kNodes, kSeed, configOf(GetParam()));
+  SimulatedCluster world(kNodes, kSeed, configOf(GetParam()));
   world.copyStore();
   world.run(seconds(6));
   ASSERT_EQ(world.servedKeys(), world.sampledKeys());
@@ -133,7 +133,7 @@
 // Each of many owners reads the table, and some write it: a few calls each, not all at once.
 TEST(RestoredStoreCallsTest, WritesOfATableDoNotGrowWithItsOwners) {
   for (const std::size_t nodes : {10U, 30U}) {
-    OwnershipWorld world(nodes, kSeed, configOf(GrantDelivery::Request));
+    SimulatedCluster world(nodes, kSeed, configOf(GrantDelivery::Request));
     world.run(seconds(20));
     ASSERT_EQ(world.servedKeys(), world.sampledKeys());
     world.copyStore();
@@ -242,7 +242,7 @@
         world_.setStoreFaults(node, {random_.below(3) == 0, 0.2, 0.2});
         break;
       case 4:
-        world_.setOrderFaults(node, {false, 0.2, keysByHeartbeat() ? 0.2 : 0, keysByHeartbeat() ? 0.2 : 0});
+        world_.setServerFaults(node, {false, 0.2, keysByHeartbeat() ? 0.2 : 0, keysByHeartbeat() ? 0.2 : 0});
         break;
       case 5:
         if (!without_server_[node]) {
@@ -256,8 +256,8 @@
     world_.run(milliseconds(100 + random_.below(3000)));
   }
 
-  OwnershipWorld world_{kNodes, GetParam(),
-                        configOf(GetParam() % 2 == 0 ? GrantDelivery::Heartbeat : GrantDelivery::Request)};
+  SimulatedCluster world_{kNodes, GetParam(),
+                          configOf(GetParam() % 2 == 0 ? GrantDelivery::Heartbeat : GrantDelivery::Request)};
   SeededRandom random_{GetParam() + 1};
   std::vector<bool> dead_ = std::vector<bool>(kNodes, false);
   std::vector<bool> without_server_ = std::vector<bool>(kNodes, false);
--- a/test/lab/ownership_checks_test.cc
+++ b/test/lab/ownership_checks_test.cc
@@ -15,7 +15,7 @@
  protected:
   void take(SimulatedServer& server, FenceToken token) {
     ASSERT_TRUE(server.grant({0, kLast, token, kHold, {}}, false));
-    checks_.onTake(server, 0, kLast, token, running());
+    checks_.onAcquired(server, 0, kLast, token, running());
   }
 
   OwnershipChecks::Servers running() const { return {&first_, &second_}; }
@@ -37,13 +37,13 @@
   take(second_, 2);
   ASSERT_TRUE(checks_.violations().empty());
   checks_.check(running(), time_.now());
-  EXPECT_EQ(checks_.violations().size(), OwnershipChecks::kSamples);
+  EXPECT_EQ(checks_.violations().size(), OwnershipChecks::kSampleCount);
 }
 
 TEST_F(OwnershipChecksTest, TokenThatDoesNotRiseIsSeen) {
   take(first_, 2);
   take(second_, 2);
-  EXPECT_EQ(checks_.violations().size(), OwnershipChecks::kSamples);
+  EXPECT_EQ(checks_.violations().size(), OwnershipChecks::kSampleCount);
 }
 
 }  // namespace
--- a/test/lab/run_checks_test.cc
+++ b/test/lab/run_checks_test.cc
@@ -12,10 +12,10 @@
 namespace shedlever::check::test {
 namespace {
 
-class RunChecksTest : public ::testing::Test {
+class HistoryCheckerTest : public ::testing::Test {
  protected:
-  RunChecksTest() : path_(std::filesystem::temp_directory_path() / ("run-checks-" + std::to_string(getpid()))) {}
-  ~RunChecksTest() override { std::filesystem::remove(path_); }
+  HistoryCheckerTest() : path_(std::filesystem::temp_directory_path() / ("run-checks-" + std::to_string(getpid()))) {}
+  ~HistoryCheckerTest() override { std::filesystem::remove(path_); }
 
   void log(const std::string& lines) {
     std::ofstream(path_) << lines;
@@ -29,57 +29,57 @@
   }
 
   std::filesystem::path path_;
-  RunChecks checks_;
+  HistoryChecker checks_;
 };
 
-TEST_F(RunChecksTest, SoundRunHasNoFindings) {
+TEST_F(HistoryCheckerTest, SoundRunHasNoFindings) {
   log("1000 i-1 take 0 99 5\n2000 i-1 begin r1 7 5\n9000 i-2 take 0 99 7\n10000 i-2 begin r2 7 7\n");
-  checks_.onClient({"r1", true, 200, "answer to r1"});
-  checks_.onClient({"r2", false, 200, "answer to r2"});
-  checks_.onClient({"r3", true, 503, ""});
-  checks_.onClient({"r4", true, 0, ""});
+  checks_.addClientRecord({"r1", true, 200, "answer to r1"});
+  checks_.addClientRecord({"r2", false, 200, "answer to r2"});
+  checks_.addClientRecord({"r3", true, 503, ""});
+  checks_.addClientRecord({"r4", true, 0, ""});
   EXPECT_TRUE(checks_.violations().empty());
   EXPECT_EQ(checks_.counts().served, 2U);
   EXPECT_EQ(checks_.counts().unanswered, 1U);
 }
 
-TEST_F(RunChecksTest, FindsARequestThatRanTwice) {
+TEST_F(HistoryCheckerTest, FindsARequestThatRanTwice) {
   log("1 i-1 begin r1 -1 0\n2 i-2 begin r1 -1 0\n");
-  checks_.onClient({"r1", true, 502, ""});
+  checks_.addClientRecord({"r1", true, 502, ""});
   expectOne("ran 2 times");
 }
 
-TEST_F(RunChecksTest, FindsARefusalThatRan) {
+TEST_F(HistoryCheckerTest, FindsARefusalThatRan) {
   log("1 i-1 begin r1 -1 0\n");
-  checks_.onClient({"r1", true, 503, ""});
+  checks_.addClientRecord({"r1", true, 503, ""});
   expectOne("refused as not run");
 }
 
-TEST_F(RunChecksTest, FindsAnAnswerToAnother) {
+TEST_F(HistoryCheckerTest, FindsAnAnswerToAnother) {
   log("1 i-1 begin r1 -1 0\n");
-  checks_.onClient({"r1", false, 200, "answer to r2"});
+  checks_.addClientRecord({"r1", false, 200, "answer to r2"});
   expectOne("not its own");
 }
 
-TEST_F(RunChecksTest, FindsRequestsThatWereCut) {
+TEST_F(HistoryCheckerTest, FindsRequestsThatWereCut) {
   log("1 i-1 begin r1 -1 0\n2 i-1 begin r2 -1 0\n3 i-1 begin r3 -1 0\n4 i-1 begin r5 -1 0\n");
-  checks_.onClient({"r1", false, 502, ""});
-  checks_.onClient({"r2", false, 504, "", true});
-  checks_.onClient({"r3", false, 200, "answer to r3"});
-  checks_.onClient({"r4", false, 0, ""});
-  checks_.onClient({"r5", false, 0, ""});
-  const auto cut = checks_.cutRequests();
+  checks_.addClientRecord({"r1", false, 502, ""});
+  checks_.addClientRecord({"r2", false, 504, "", true});
+  checks_.addClientRecord({"r3", false, 200, "answer to r3"});
+  checks_.addClientRecord({"r4", false, 0, ""});
+  checks_.addClientRecord({"r5", false, 0, ""});
+  const auto cut = checks_.interruptedRequests();
   ASSERT_EQ(cut.size(), 2U);
   EXPECT_NE(cut[0].find("r1"), std::string::npos);
   EXPECT_NE(cut[1].find("r5"), std::string::npos);
 }
 
-TEST_F(RunChecksTest, FindsAnOwnerThatRunsAfterAnother) {
+TEST_F(HistoryCheckerTest, FindsAnOwnerThatRunsAfterAnother) {
   log("1000 i-1 begin r1 7 5\n5000 i-2 begin r2 7 7\n9000 i-1 begin r3 7 5\n");
   expectOne("key 7");
 }
 
-TEST_F(RunChecksTest, FindsATokenThatIsNotAboveOthers) {
+TEST_F(HistoryCheckerTest, FindsATokenThatIsNotAboveOthers) {
   log("1000 i-1 take 0 99 5\n2000 i-2 take 50 60 5\n");
   expectOne("not above");
 }
--- a/test/support/ownership_expectations.h
+++ b/test/support/ownership_expectations.h
@@ -10,18 +10,18 @@
 namespace shedlever::sim::test {
 
 /// Fails with the first promise that was broken, if any was.
-inline void expectNoViolations(const OwnershipWorld& world) {
+inline void expectNoViolations(const SimulatedCluster& world) {
   if (!world.violations().empty()) {
     ADD_FAILURE() << world.violations().front();
   }
 }
 
 /// All faults end and all processes and servers start again: every key is served once that has settled.
-inline void expectRecovery(OwnershipWorld& world, std::size_t nodes) {
+inline void expectRecovery(SimulatedCluster& world, std::size_t nodes) {
   expectNoViolations(world);
   for (std::size_t node = 0; node < nodes; ++node) {
     world.setStoreFaults(node, {});
-    world.setOrderFaults(node, {});
+    world.setServerFaults(node, {});
     world.startServer(node);
     world.restartNode(node);
   }
