--- a/soak/fatal_requests.cc
+++ b/soak/fatal_requests.cc
@@ -39,10 +39,10 @@
   }
 }
 
-std::vector<std::string> FatalRequests::violations(const check::RunChecks& checks) const {
+std::vector<std::string> FatalRequests::violations(const check::HistoryChecker& checks) const {
   std::vector<std::string> violations;
   for (const char* name : {kSequentialName, kConcurrentName}) {
-    const std::size_t instances = checks.livesThatBegan(name);
+    const std::size_t instances = checks.countInstances(name);
     if (instances == 0 && rounds_ > kSequentialRounds) {
       violations.push_back(std::string("the fatal request ") + name + " reached no server");
     }
--- a/soak/fatal_requests.h
+++ b/soak/fatal_requests.h
@@ -28,7 +28,7 @@
   void sendRound();
 
   /// @return one sentence for each request that crashed too many server instances, or that reached none.
-  std::vector<std::string> violations(const check::RunChecks& checks) const;
+  std::vector<std::string> violations(const check::HistoryChecker& checks) const;
 
  private:
   void send(std::size_t client, const std::string& name, const std::string& key);
--- a/soak/soak_main.cc
+++ b/soak/soak_main.cc
@@ -59,8 +59,8 @@
     const check::CheckCounts counts = runner.checks().counts();
     std::cout << "seed " << config.seed << ": " << (violations.empty() ? "kept" : "BROKEN")
               << " requests=" << counts.requests << " served=" << counts.served << " refused=" << counts.refused
-              << " unanswered=" << counts.unanswered << " runs=" << counts.runs << " grants=" << counts.grants
-              << std::endl;
+              << " unanswered=" << counts.unanswered << " runs=" << counts.executions
+              << " grants=" << counts.acquisitions << std::endl;
     for (const std::string& sentence : violations) {
       std::cout << "  " << sentence << "\n";
     }
--- a/soak/soak_world.cc
+++ b/soak/soak_world.cc
@@ -153,7 +153,7 @@
   check::ClientRecord record;
   record.id = "r" + std::to_string(++last_request_);
   const std::uint64_t kind = randomBelow(3);
-  record.once_only = kind != 0;
+  record.at_most_once = kind != 0;
   HttpRequest request;
   request.method = kind == 0 ? "GET" : "POST";
   request.target = kind == 0 ? "/search/x" : (kind == 1 ? "/orders/x" : "/keyed/x");
@@ -174,7 +174,7 @@
                   ++recovery_requests_;
       recovery_served_ += record.status == kOk ? 1 : 0;
                 }
-                checks_.onClient(record);
+                checks_.addClientRecord(record);
               });
 }
 
@@ -460,7 +460,7 @@
   }
   violations.insert(violations.end(), probe_.violations().begin(), probe_.violations().end());
   if (config_.maintenance_only) {
-    const std::vector<std::string> interrupted = checks_.cutRequests();
+    const std::vector<std::string> interrupted = checks_.interruptedRequests();
     violations.insert(violations.end(), interrupted.begin(), interrupted.end());
     if (probe_.activeCount() == 0) {
       violations.push_back("no changed configuration was seen active");
--- a/soak/soak_world.h
+++ b/soak/soak_world.h
@@ -47,7 +47,7 @@
   /// @return one sentence for each violation.
   std::vector<std::string> run();
 
-  const check::RunChecks& checks() const { return checks_; }
+  const check::HistoryChecker& checks() const { return checks_; }
 
  private:
   void startAll();
@@ -85,7 +85,7 @@
   EventLoop& loop_;
   SoakConfig config_;
   std::mt19937_64 random_;
-  check::RunChecks checks_;
+  check::HistoryChecker checks_;
   std::vector<std::string> violations_;
   LocalDeployment deployment_;
   /// One client per node.
--- a/standins/router/key_server.cc
+++ b/standins/router/key_server.cc
@@ -104,7 +104,7 @@
                             }
                             onAcknowledged(exchange, keys, sent);
                           });
-  scheduleHeartbeat(assigned_.isLettingGo() ? kReleaseHeartbeatInterval : kHeartbeatInterval);
+  scheduleHeartbeat(assigned_.isReleasing() ? kReleaseHeartbeatInterval : kHeartbeatInterval);
 }
 
 void KeyServer::scheduleHeartbeat(Duration delay) {
@@ -131,7 +131,7 @@
   for (const AssignedRange& range : assigned_.onAcknowledged(assignment, reported.released, sent)) {
     log("take " + std::to_string(range.first) + " " + std::to_string(range.last) + " " + std::to_string(range.token));
   }
-  if (assigned_.isLettingGo()) {
+  if (assigned_.isReleasing()) {
     scheduleHeartbeat(kReleaseHeartbeatInterval);
   }
 }
--- a/test/core_router/evacuation_ownership_test.cc
+++ b/test/core_router/evacuation_ownership_test.cc
@@ -43,18 +43,18 @@
   /// Heartbeats arrive once per second, and a release by heartbeat takes two of them.
   Duration moveTime() const { return GetParam() == GrantDelivery::Request ? kMoveTime : kMoveTime * 2; }
 
-  OwnershipWorld world_{4, kSeed, config()};
+  SimulatedCluster world_{4, kSeed, config()};
 };
 
 TEST_P(EvacuationOwnershipTest, KeysMoveToOtherZonesAndAreServedThere) {
-  world_.evacuate(1, true);
+  world_.setEvacuated(1, true);
   world_.run(moveTime());
   expectServedByOthersThan({1});
 }
 
 TEST_P(EvacuationOwnershipTest, TwoZonesCanBeEvacuatedAtOnce) {
-  world_.evacuate(1, true);
-  world_.evacuate(2, true);
+  world_.setEvacuated(1, true);
+  world_.setEvacuated(2, true);
   world_.run(moveTime());
   expectServedByOthersThan({1, 2});
 }
@@ -62,7 +62,7 @@
 // No key may move to a server in an evacuated zone, even if no key can be served.
 TEST_P(EvacuationOwnershipTest, KeysDoNotMoveIfAllZonesAreEvacuated) {
   for (std::size_t node = 0; node < 4; ++node) {
-    world_.evacuate(node, true);
+    world_.setEvacuated(node, true);
   }
   const std::uint64_t changes = world_.storeChanges();
   world_.run(seconds(2));
@@ -70,7 +70,7 @@
 }
 
 TEST_P(EvacuationOwnershipTest, RestartedServerInTheZoneGetsNoKeys) {
-  world_.evacuate(1, true);
+  world_.setEvacuated(1, true);
   world_.run(milliseconds(100));
   world_.killServer(1);
   world_.run(milliseconds(300));
@@ -80,7 +80,7 @@
 }
 
 TEST_P(EvacuationOwnershipTest, RestartedProcessInTheZoneKeepsNoKeys) {
-  world_.evacuate(1, true);
+  world_.setEvacuated(1, true);
   world_.killNode(1);
   world_.run(milliseconds(300));
   world_.restartNode(1);
@@ -89,15 +89,15 @@
 }
 
 TEST_P(EvacuationOwnershipTest, AllKeysAreServedAfterARevokedEvacuation) {
-  world_.evacuate(1, true);
+  world_.setEvacuated(1, true);
   world_.run(milliseconds(250));
-  world_.evacuate(1, false);
+  world_.setEvacuated(1, false);
   world_.run(seconds(3));
   EXPECT_EQ(world_.servedKeys(), world_.sampledKeys());
 }
 
 TEST_P(EvacuationOwnershipTest, EvacuationDuringADrainLosesNoKey) {
-  world_.evacuate(1, true);
+  world_.setEvacuated(1, true);
   world_.drainServer(2);
   world_.run(moveTime() + seconds(1));
   expectServedByOthersThan({1, 2});
@@ -106,16 +106,16 @@
 // Half of all commands and heartbeats get no answer and are processed 2 to 12 s later, after newer ones.
 TEST_P(EvacuationOwnershipTest, DelayedCommandsLeaveNoKeyWithTwoOwners) {
   for (std::size_t node = 0; node < 4; ++node) {
-    world_.setOrderFaults(node, {false, 0.5, 0, 0});
+    world_.setServerFaults(node, {false, 0.5, 0, 0});
   }
   for (const std::size_t node : {1U, 2U, 1U}) {
-    world_.evacuate(node, true);
+    world_.setEvacuated(node, true);
     world_.run(seconds(5));
-    world_.evacuate(node, false);
+    world_.setEvacuated(node, false);
     world_.run(seconds(2));
   }
   for (std::size_t node = 0; node < 4; ++node) {
-    world_.setOrderFaults(node, {});
+    world_.setServerFaults(node, {});
   }
   // The last delayed command is processed 12 s after it was sent.
   world_.run(seconds(16));
--- a/test/core_router/ownership_test.cc
+++ b/test/core_router/ownership_test.cc
@@ -26,7 +26,7 @@
 
   void expectAllServed() { EXPECT_EQ(world_.servedKeys(), world_.sampledKeys()); }
 
-  OwnershipWorld world_{4, kSeed};
+  SimulatedCluster world_{4, kSeed};
 };
 
 TEST_F(OwnershipTest, InitialTableDividesKeysEvenly) {
@@ -154,13 +154,13 @@
 
 TEST_F(OwnershipTest, DelayedCommandsLoseNoKey) {
   for (std::size_t node = 0; node < 4; ++node) {
-    world_.setOrderFaults(node, {false, 0.4});
+    world_.setServerFaults(node, {false, 0.4});
   }
   world_.run(seconds(2));
   world_.drainServer(2);
   world_.run(seconds(15));
   for (std::size_t node = 0; node < 4; ++node) {
-    world_.setOrderFaults(node, {});
+    world_.setServerFaults(node, {});
   }
   world_.run(seconds(14));
   expectAllServed();
@@ -173,7 +173,7 @@
     world_.setOccupancy(node, 0.1);
   }
   for (Key key = 0; key < busy; ++key) {
-    world_.addKeyWork(0, key, 20);
+    world_.addKeyRequests(0, key, 20);
   }
   world_.run(seconds(2));
   EXPECT_LT(world_.servedBy(0), world_.sampledKeys() / 4);
@@ -182,7 +182,7 @@
 
 // Ranges that are not adjacent cannot be merged; this must not keep their owner from moving load away.
 TEST_F(OwnershipTest, OwnerOfManyScatteredRangesStillMovesLoad) {
-  world_.scatterRanges(0, 1, 16);
+  world_.interleaveRanges(0, 1, 16);
   world_.run(seconds(2));
   const std::size_t before = world_.servedBy(0);
   world_.setOccupancy(0, 1.5);
@@ -190,7 +190,7 @@
     world_.setOccupancy(node, 0.1);
   }
   for (std::uint32_t key = 0; key < kKeyCount; key += 16) {
-    world_.addKeyWork(0, static_cast<Key>(key), 10);
+    world_.addKeyRequests(0, static_cast<Key>(key), 10);
   }
   world_.run(seconds(2));
   EXPECT_LT(world_.servedBy(0), before);
@@ -199,7 +199,7 @@
 
 // A server can pass its health checks and still fail all requests.
 TEST_F(OwnershipTest, FailingServersKeysMoveToHealthyServers) {
-  world_.setFailing(1, 0.9);
+  world_.setFailureRatio(1, 0.9);
   world_.run(seconds(2));
   EXPECT_EQ(world_.servedBy(1), 0U);
   expectAllServed();
@@ -209,7 +209,7 @@
   // Replies repeat the ratio.
   for (int round = 0; round < 10; ++round) {
     for (std::size_t node = 0; node < 4; ++node) {
-      world_.setFailing(node, 0.8);
+      world_.setFailureRatio(node, 0.8);
     }
     world_.run(milliseconds(300));
   }
@@ -219,7 +219,7 @@
 }
 
 TEST_F(OwnershipTest, DeadServersKeysDoNotMoveToAFailingServer) {
-  world_.setFailing(3, 0.9);
+  world_.setFailureRatio(3, 0.9);
   world_.killServer(1);
   world_.run(seconds(1));
   EXPECT_EQ(world_.servedBy(3), 0U);
@@ -235,7 +235,7 @@
   for (std::size_t node = 0; node < 3; ++node) {
     world_.setOccupancy(node, 1.0);
     for (std::uint32_t key = 0; key < kKeyCount; key += 16) {
-      world_.addKeyWork(node, static_cast<Key>(key), 10);
+      world_.addKeyRequests(node, static_cast<Key>(key), 10);
     }
   }
   world_.run(milliseconds(900));
@@ -251,13 +251,13 @@
   world_.run(seconds(14));
   for (std::size_t node = 0; node < gone; ++node) {
     world_.killNode(node);
-    world_.restartNodeWithRecordsAlone(node);
+    world_.restartNodeWithRecordsOnly(node);
   }
   world_.run(seconds(2));
   for (std::size_t node = 0; node < gone; ++node) {
     world_.setOccupancy(node, node == 0 ? 1.5 : 0.9);
     for (std::uint32_t key = 0; key < kKeyCount; key += 16) {
-      world_.addKeyWork(node, static_cast<Key>(key), 10);
+      world_.addKeyRequests(node, static_cast<Key>(key), 10);
     }
   }
   world_.run(seconds(3));
@@ -273,7 +273,7 @@
 TEST_P(OwnershipSoakTest, KeepsOneOwnerUnderRandomFaults) {
   constexpr std::size_t kNodes = 4;
   constexpr int kSteps = 40;
-  OwnershipWorld world(kNodes, GetParam());
+  SimulatedCluster world(kNodes, GetParam());
   SeededRandom random(GetParam() + 1);
   std::vector<bool> dead(kNodes, false);
   std::vector<bool> without_server(kNodes, false);
@@ -313,7 +313,7 @@
         world.setStoreFaults(node, {random.below(3) == 0, 0.2, 0.2});
         break;
       case 7:
-        world.setOrderFaults(node, {false, 0.3});
+        world.setServerFaults(node, {false, 0.3});
         break;
       default:
         if (!without_server[node]) {
--- a/test/support/ownership_expectations.h
+++ b/test/support/ownership_expectations.h
@@ -10,18 +10,18 @@
 namespace shedlever::sim::test {
 
 /// Fails with the first violation, if there is one.
-inline void expectNoViolations(const OwnershipWorld& world) {
+inline void expectNoViolations(const SimulatedCluster& world) {
   if (!world.violations().empty()) {
     ADD_FAILURE() << world.violations().front();
   }
 }
 
 /// Ends all faults, restarts all processes and servers, and expects that every sampled key to be after 30 seconds.
-inline void expectRecovery(OwnershipWorld& world, std::size_t nodes) {
+inline void expectRecovery(SimulatedCluster& world, std::size_t nodes) {
   expectNoViolations(world);
   for (std::size_t node = 0; node < nodes; ++node) {
     world.setStoreFaults(node, {});
-    world.setOrderFaults(node, {});
+    world.setServerFaults(node, {});
     world.startServer(node);
     world.restartNode(node);
   }
