--- a/demo/demo_main.cc
+++ b/demo/demo_main.cc
@@ -11,10 +11,10 @@
 #include <vector>
 
 #include "soak/local_deployment.h"
-#include "source/lab/check/run_checks.h"
+#include "source/lab/check/history_checker.h"
 #include "source/lab/load/load_report.h"
 #include "source/lab/load/load_runner.h"
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 
 namespace {
 
@@ -60,7 +60,8 @@
 };
 
 /// @return the number of idempotency keys under which servers executed requests more than once.
-std::size_t countDuplicateExecutions(const std::vector<load::RequestRecord>& records, const check::HistoryChecker& checks) {
+std::size_t countDuplicateExecutions(const std::vector<load::RequestRecord>& records,
+                                     const check::HistoryChecker& checks) {
   std::map<std::string, std::size_t> runs;
   for (const load::RequestRecord& record : records) {
     if (!record.idempotency_key.empty()) {
--- a/soak/config_probe.cc
+++ b/soak/config_probe.cc
@@ -29,14 +29,14 @@
       routePrefixOfVersion(version) + "x",
       {{"Host", "h"}, {"X-Request-Id", "p" + std::to_string(++last_request_)}, {"X-Request-Deadline", "2000"}},
       {}};
-  clients_[client]->send(
-      std::move(request), kRequestTimeout,
-                         [this, client, version, waited](const HttpExchangeResult& exchange) { onResponse(client, version, waited, exchange);
+  clients_[client]->send(std::move(request), kRequestTimeout,
+                         [this, client, version, waited](const HttpExchangeResult& exchange) {
+                           onResponse(client, version, waited, exchange);
                          });
 }
 
 void ConfigProbe::onResponse(std::size_t client, std::uint64_t version, Duration waited,
-                           const HttpExchangeResult& exchange) {
+                             const HttpExchangeResult& exchange) {
   // Any status other than 404 shows that the route exists, also a refusal because of overload.
   const bool is_active = exchange.status == HttpExchangeStatus::Complete && exchange.response.status != kNotFound;
   const bool superseded = version != version_;
--- a/soak/fatal_requests.h
+++ b/soak/fatal_requests.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "source/lab/check/run_checks.h"
+#include "source/lab/check/history_checker.h"
 #include "source/net/http_client.h"
 
 namespace shedlever::soak {
--- a/soak/soak_world.cc
+++ b/soak/soak_runner.cc
@@ -1,4 +1,4 @@
-#include "soak/soak_world.h"
+#include "soak/soak_runner.h"
 
 #include <algorithm>
 #include <csignal>
@@ -172,7 +172,7 @@
                 }
                 if (is_measured) {
                   ++recovery_requests_;
-      recovery_served_ += record.status == kOk ? 1 : 0;
+                  recovery_served_ += record.status == kOk ? 1 : 0;
                 }
                 checks_.addClientRecord(record);
               });
--- a/soak/soak_world.h
+++ b/soak/soak_runner.h
@@ -12,7 +12,7 @@
 #include "soak/fatal_requests.h"
 #include "soak/local_deployment.h"
 #include "soak/store_restores.h"
-#include "source/lab/check/run_checks.h"
+#include "source/lab/check/history_checker.h"
 #include "source/net/http_client.h"
 
 namespace shedlever::soak {
--- a/source/cli/network_ports.cc
+++ b/source/cli/network_cli_ports.cc
@@ -1,4 +1,4 @@
-#include "source/cli/network_ports.h"
+#include "source/cli/network_cli_ports.h"
 
 #include <array>
 #include <cstdio>
@@ -9,7 +9,7 @@
 #include "source/cli/metadata_object_store.h"
 #include "source/net/event_loop.h"
 #include "source/net/http_client.h"
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 
 namespace shedlever {
 
--- a/source/lab/check/check_command.cc
+++ b/source/lab/check/check_command.cc
@@ -4,7 +4,7 @@
 #include <filesystem>
 #include <iostream>
 
-#include "source/lab/check/run_checks.h"
+#include "source/lab/check/history_checker.h"
 
 namespace shedlever::check {
 
--- a/source/lab/check/run_checks.cc
+++ b/source/lab/check/history_checker.cc
@@ -1,4 +1,4 @@
-#include "source/lab/check/run_checks.h"
+#include "source/lab/check/history_checker.h"
 
 #include <algorithm>
 #include <fstream>
--- a/source/lab/load/load_command.cc
+++ b/source/lab/load/load_command.cc
@@ -10,7 +10,7 @@
 #include "source/lab/load/load_options.h"
 #include "source/lab/load/load_report.h"
 #include "source/lab/load/load_runner.h"
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 
 namespace shedlever::load {
 
--- a/source/lab/load/load_runner.cc
+++ b/source/lab/load/load_runner.cc
@@ -121,7 +121,8 @@
               });
 }
 
-void LoadRunner::onExchangeEnd(const PlannedRequest& planned, RequestRecord record, const HttpExchangeResult& exchange) {
+void LoadRunner::onExchangeEnd(const PlannedRequest& planned, RequestRecord record,
+                               const HttpExchangeResult& exchange) {
   --in_flight_;
   record.ended = sinceStart();
   switch (exchange.status) {
--- a/source/lab/load/load_runner.h
+++ b/source/lab/load/load_runner.h
@@ -7,11 +7,11 @@
 #include <memory>
 #include <vector>
 
-#include "source/lab/load/answer_checker.h"
 #include "source/lab/load/load_config.h"
 #include "source/lab/load/open_loop_schedule.h"
 #include "source/lab/load/request_generator.h"
 #include "source/lab/load/request_record.h"
+#include "source/lab/load/response_checker.h"
 #include "source/net/event_loop.h"
 #include "source/net/http_client.h"
 
--- a/source/lab/load/answer_checker.cc
+++ b/source/lab/load/response_checker.cc
@@ -1,4 +1,4 @@
-#include "source/lab/load/answer_checker.h"
+#include "source/lab/load/response_checker.h"
 
 #include <string_view>
 
--- a/source/lab/sim/ownership_world.cc
+++ b/source/lab/sim/simulated_cluster.cc
@@ -1,9 +1,9 @@
-#include "source/lab/sim/ownership_world.h"
+#include "source/lab/sim/simulated_cluster.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "source/lab/sim/ownership_world_node.h"
+#include "source/lab/sim/simulated_cluster_node.h"
 
 namespace shedlever::sim {
 
--- a/source/lab/sim/ownership_world_heartbeats.cc
+++ b/source/lab/sim/simulated_cluster_heartbeats.cc
@@ -3,7 +3,7 @@
 
 #include <algorithm>
 
-#include "source/lab/sim/ownership_world_node.h"
+#include "source/lab/sim/simulated_cluster_node.h"
 
 namespace shedlever::sim {
 
--- a/source/lab/sim/ownership_world_node.h
+++ b/source/lab/sim/simulated_cluster_node.h
@@ -8,7 +8,7 @@
 
 #include "source/core/router/heartbeat_responder.h"
 #include "source/core/router/restorable_store.h"
-#include "source/lab/sim/ownership_world.h"
+#include "source/lab/sim/simulated_cluster.h"
 
 namespace shedlever::sim {
 
--- a/source/lab/sim/simulation.cc
+++ b/source/lab/sim/simulation.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <functional>
 
-#include "source/lab/sim/ownership_world.h"
+#include "source/lab/sim/simulated_cluster.h"
 
 namespace shedlever::sim {
 
--- a/source/net/file_version.cc
+++ b/source/net/file_change_detector.cc
@@ -1,4 +1,4 @@
-#include "source/net/file_version.h"
+#include "source/net/file_change_detector.h"
 
 #include <utility>
 
--- a/source/net/request_parser.cc
+++ b/source/net/http_request_parser.cc
@@ -1,4 +1,4 @@
-#include "source/net/request_parser.h"
+#include "source/net/http_request_parser.h"
 
 #include <utility>
 #include <vector>
--- a/source/net/http_server.cc
+++ b/source/net/http_server.cc
@@ -8,8 +8,8 @@
 #include <utility>
 
 #include "source/net/event_buffers.h"
-#include "source/net/http_exchange.h"
 #include "source/net/http_headers.h"
+#include "source/net/http_server_exchange.h"
 #include "source/net/socket_address.h"
 
 namespace shedlever {
--- a/source/net/http_exchange.cc
+++ b/source/net/http_server_exchange.cc
@@ -1,4 +1,4 @@
-#include "source/net/http_exchange.h"
+#include "source/net/http_server_exchange.h"
 
 #include <utility>
 
--- a/source/net/strict_http_server.cc
+++ b/source/net/strict_http_server.cc
@@ -10,7 +10,7 @@
 
 #include "source/net/event_buffers.h"
 #include "source/net/http_headers.h"
-#include "source/net/request_parser.h"
+#include "source/net/http_request_parser.h"
 #include "source/net/tcp_listener.h"
 
 namespace shedlever {
--- a/source/net/system_sources.cc
+++ b/source/net/system_clock_and_random.cc
@@ -1,4 +1,4 @@
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 
 #include <array>
 #include <cstdint>
--- a/source/router/event_log.cc
+++ b/source/router/event_log.cc
@@ -6,7 +6,7 @@
 #include <algorithm>
 #include <cstdio>
 
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 
 namespace shedlever {
 
--- a/source/router/quarantine_coordinator.cc
+++ b/source/router/quarantine_coordinator.cc
@@ -4,7 +4,7 @@
 #include <string>
 #include <utility>
 
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 
 namespace shedlever {
 
--- a/source/router/router_process.h
+++ b/source/router/router_process.h
@@ -16,7 +16,7 @@
 #include "source/core/router/restorable_store.h"
 #include "source/core/router/server_presence.h"
 #include "source/core/router/zone_evacuation.h"
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 #include "source/router/cluster_state.h"
 #include "source/router/gateway.h"
 #include "source/router/peer_server.h"
--- a/standins/router/key_server.cc
+++ b/standins/router/key_server.cc
@@ -97,13 +97,14 @@
       body["released"].push_back({range.first, range.last, range.handover});
     }
   }
-  heartbeat_client_->send({"POST", "/instances/" + instance_ + "/heartbeat", {}, body.dump()}, kHeartbeatTimeout,
-                          [this, is_draining = draining_, keys, sent = clock_.now()](const HttpExchangeResult& exchange) {
-                            if (is_draining && exchange.status == HttpExchangeStatus::Complete && on_acknowledged_) {
-                              std::exchange(on_acknowledged_, {})();
-                            }
-                            onAcknowledged(exchange, keys, sent);
-                          });
+  heartbeat_client_->send(
+      {"POST", "/instances/" + instance_ + "/heartbeat", {}, body.dump()}, kHeartbeatTimeout,
+      [this, is_draining = draining_, keys, sent = clock_.now()](const HttpExchangeResult& exchange) {
+        if (is_draining && exchange.status == HttpExchangeStatus::Complete && on_acknowledged_) {
+          std::exchange(on_acknowledged_, {})();
+        }
+        onAcknowledged(exchange, keys, sent);
+      });
   scheduleHeartbeat(assigned_.isReleasing() ? kReleaseHeartbeatInterval : kHeartbeatInterval);
 }
 
--- a/standins/router/key_server.h
+++ b/standins/router/key_server.h
@@ -17,7 +17,7 @@
 #include "shedlever/errors.h"
 #include "source/lab/sim/assigned_keys.h"
 #include "source/net/http_client.h"
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 #include "standins/standin_http_server.h"
 
 namespace shedlever::standins {
--- a/test/cli/config_commands_test.cc
+++ b/test/cli/config_commands_test.cc
@@ -1,7 +1,7 @@
 #include <gtest/gtest.h>
 
 #include "source/core/settings/settings_change.h"
-#include "test/cli/cli_bench.h"
+#include "test/cli/cli_fixture.h"
 
 namespace shedlever::test {
 namespace {
--- a/test/cli/operator_commands_test.cc
+++ b/test/cli/operator_commands_test.cc
@@ -4,7 +4,7 @@
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
-#include "test/cli/cli_bench.h"
+#include "test/cli/cli_fixture.h"
 
 namespace shedlever::test {
 namespace {
--- a/test/core_router/server_directory_test.cc
+++ b/test/core_router/server_directory_test.cc
@@ -5,7 +5,7 @@
 
 #include <map>
 
-#include "source/lab/sim/ownership_world.h"
+#include "source/lab/sim/simulated_cluster.h"
 
 namespace shedlever::test {
 namespace {
--- a/test/core_router/staleness_bound_test.cc
+++ b/test/core_router/staleness_bound_test.cc
@@ -8,7 +8,7 @@
 #include <algorithm>
 #include <vector>
 
-#include "source/lab/sim/ownership_world.h"
+#include "source/lab/sim/simulated_cluster.h"
 
 namespace shedlever::test {
 namespace {
--- a/test/core_router/takeover_watcher_test.cc
+++ b/test/core_router/takeover_watcher_test.cc
@@ -5,8 +5,8 @@
 
 #include <gtest/gtest.h>
 
+#include "test/support/manual_clock.h"
 #include "test/support/scripted_store.h"
-#include "test/support/set_clock.h"
 
 namespace shedlever::test {
 namespace {
--- a/test/lab/run_checks_test.cc
+++ b/test/lab/history_checker_test.cc
@@ -1,7 +1,7 @@
 /// @file
 /// The soak's checker finds what was planted, and nothing where nothing was.
 
-#include "source/lab/check/run_checks.h"
+#include "source/lab/check/history_checker.h"
 
 #include <gtest/gtest.h>
 
--- a/test/net/event_loop_test.cc
+++ b/test/net/event_loop_test.cc
@@ -8,7 +8,7 @@
 #include <string>
 
 #include "source/net/metrics_text.h"
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 #include "test/support/scripted_server.h"
 
 namespace shedlever::test {
--- a/test/net/file_version_test.cc
+++ b/test/net/file_change_detector_test.cc
@@ -1,7 +1,7 @@
 /// @file
 /// Changes of a file are noticed without notifications.
 
-#include "source/net/file_version.h"
+#include "source/net/file_change_detector.h"
 
 #include <gtest/gtest.h>
 #include <unistd.h>
--- a/test/net/link_pacer_test.cc
+++ b/test/net/link_pacer_test.cc
@@ -8,7 +8,7 @@
 #include <functional>
 #include <string>
 
-#include "source/lab/sim/ownership_world.h"
+#include "source/lab/sim/simulated_cluster.h"
 #include "test/support/scripted_server.h"
 
 namespace shedlever::test {
--- a/test/net/strict_http_server_test.cc
+++ b/test/net/strict_http_server_test.cc
@@ -7,7 +7,7 @@
 #include <rapidcheck/gtest.h>
 
 #include "source/net/event_buffers.h"
-#include "source/net/request_parser.h"
+#include "source/net/http_request_parser.h"
 #include "source/net/socket_address.h"
 #include "test/support/scripted_server.h"
 
--- a/test/router/cluster_state_test.cc
+++ b/test/router/cluster_state_test.cc
@@ -6,10 +6,10 @@
 #include <gtest/gtest.h>
 #include <unistd.h>
 
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
+#include "test/support/manual_clock.h"
 #include "test/support/scripted_server.h"
 #include "test/support/scripted_store.h"
-#include "test/support/set_clock.h"
 
 namespace shedlever::test {
 namespace {
--- a/test/router/event_log_test.cc
+++ b/test/router/event_log_test.cc
@@ -9,7 +9,7 @@
 
 #include <array>
 
-#include "source/lab/sim/ownership_world.h"
+#include "source/lab/sim/simulated_cluster.h"
 #include "test/support/scripted_server.h"
 
 namespace shedlever::test {
--- a/test/router/gateway_test.cc
+++ b/test/router/gateway_test.cc
@@ -7,9 +7,9 @@
 #include <gtest/gtest.h>
 
 #include "platform/client_protocol.h"
-#include "source/lab/sim/ownership_world.h"
+#include "source/lab/sim/simulated_cluster.h"
 #include "source/net/http_headers.h"
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 #include "test/support/fake_peer.h"
 #include "test/support/http_call.h"
 
--- a/test/router/kind_poller_test.cc
+++ b/test/router/kind_poller_test.cc
@@ -6,7 +6,7 @@
 
 #include <gtest/gtest.h>
 
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 #include "test/support/scripted_server.h"
 #include "test/support/scripted_store.h"
 
--- a/test/router/recorders_test.cc
+++ b/test/router/recorders_test.cc
@@ -8,7 +8,7 @@
 
 #include <array>
 
-#include "source/lab/sim/ownership_world.h"
+#include "source/lab/sim/simulated_cluster.h"
 #include "source/router/gate_recorder.h"
 #include "source/router/gateway_recorder.h"
 
--- a/test/router/store_client_test.cc
+++ b/test/router/store_client_test.cc
@@ -6,8 +6,8 @@
 #include <gtest/gtest.h>
 #include <unistd.h>
 
-#include "source/lab/sim/ownership_world.h"
-#include "source/net/system_sources.h"
+#include "source/lab/sim/simulated_cluster.h"
+#include "source/net/system_clock_and_random.h"
 #include "test/support/fake_peer.h"
 
 namespace shedlever::test {
--- a/test/support/event_wait.cc
+++ b/test/support/event_wait.cc
@@ -1,6 +1,6 @@
 #include "test/support/event_wait.h"
 
-#include "source/net/system_sources.h"
+#include "source/net/system_clock_and_random.h"
 
 namespace shedlever::test {
 
--- a/test/support/ownership_expectations.h
+++ b/test/support/ownership_expectations.h
@@ -5,7 +5,7 @@
 
 #include <gtest/gtest.h>
 
-#include "source/lab/sim/ownership_world.h"
+#include "source/lab/sim/simulated_cluster.h"
 
 namespace shedlever::sim::test {
 
