--- a/demo/demo_main.cc
+++ b/demo/demo_main.cc
@@ -102,7 +102,7 @@
   rules.mustBeZero("idempotency keys that ran twice", doubleRuns(records, checks));
   rules.mustBeZero("told not run but ran", notRunButRan(records, checks));
   rules.mustBeZero("wrong answers", report.tally.wrong());
-  rules.mustBeZero("cut answers", report.tally.cut());
+  rules.mustBeZero("cut answers", report.tally.truncated());
   const bool served = report.tally.count(load::CallerOutcome::Answered) * 10 > report.tally.total() * 8;
   rules.mustBeZero("less than eight of ten requests answered", served ? 0 : 1);
   return rules.allHold();
