--- a/source/lab/check/check_command.h
+++ b/source/lab/check/check_command.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// `shedlever-lab check`: checks logs of stand-in servers.
+/// `shedlever-lab check`: checks the logs of stand-in servers for violated guarantees.
 
 #include <string>
 #include <vector>
@@ -9,7 +9,7 @@
 namespace shedlever::check {
 
 /// @param arguments log files of all servers of one run.
-/// @return the process's exit status: failure for wrong usage, and when a promise was broken.
+/// @return the process's exit status: failure for wrong usage or when a guarantee was violated.
 int runCheckCommand(const std::vector<std::string>& arguments);
 
 }  // namespace shedlever::check
--- a/source/lab/check/run_checks.cc
+++ b/source/lab/check/run_checks.cc
@@ -12,7 +12,7 @@
 constexpr int kOk = 200;
 constexpr int kTooMany = 429;
 constexpr int kUnavailable = 503;
-/// Two lines of different processes closer than this have no order.
+/// Log lines of different processes that are closer together than this have no defined order.
 constexpr std::int64_t kUnorderedWindowMicroseconds = 2000;
 
 }  // namespace
@@ -27,105 +27,108 @@
     std::string event;
     words >> at >> instance >> event;
     if (event == "begin") {
-      Execution run{at, instance, {}, -1, 0};
-      words >> run.id >> run.key >> run.token;
-      executions_.push_back(run);
+      Execution execution{at, instance, {}, -1, 0};
+      words >> execution.id >> execution.key >> execution.token;
+      executions_.push_back(execution);
     } else if (event == "take") {
-      Acquisition take{at, instance, 0, 0, 0};
-      words >> take.first >> take.last >> take.token;
-      acquisitions_.push_back(take);
+      Acquisition acquisition{at, instance, 0, 0, 0};
+      words >> acquisition.first >> acquisition.last >> acquisition.token;
+      acquisitions_.push_back(acquisition);
     }
   }
 }
 
-void HistoryChecker::checkRequests(std::vector<std::string>& broken) const {
-  std::map<std::string, int> times;
-  for (const Execution& run : executions_) {
-    ++times[run.id];
+void HistoryChecker::checkRequests(std::vector<std::string>& messages) const {
+  std::map<std::string, int> execution_counts;
+  for (const Execution& execution : executions_) {
+    ++execution_counts[execution.id];
   }
   for (const ClientRecord& record : records_) {
-    const auto found = times.find(record.id);
-    const int ran = found == times.end() ? 0 : found->second;
+    const auto found = execution_counts.find(record.id);
+    const int ran = found == execution_counts.end() ? 0 : found->second;
     if (record.at_most_once && ran > 1) {
-      broken.push_back("once-only request " + record.id + " ran " + std::to_string(ran) + " times");
+      messages.push_back("once-only request " + record.id + " ran " + std::to_string(ran) + " times");
     }
     const bool refused = record.status == kUnavailable || record.status == kTooMany;
     if (record.at_most_once && refused && ran > 0) {
-      broken.push_back("request " + record.id + " was refused as not run, and ran");
+      messages.push_back("request " + record.id + " was refused as not run, and ran");
     }
     if (record.status == kOk && (ran == 0 || record.body != "answer to " + record.id)) {
-      broken.push_back("request " + record.id + " got an answer that is not its own: " + record.body);
+      messages.push_back("request " + record.id + " got an answer that is not its own: " + record.body);
     }
   }
 }
 
-void HistoryChecker::checkTokenOrder(std::vector<std::string>& broken) const {
-  std::vector<Execution> runs = executions_;
-  std::sort(runs.begin(), runs.end(), [](const Execution& left, const Execution& right) { return left.at < right.at; });
+void HistoryChecker::checkTokenOrder(std::vector<std::string>& messages) const {
+  std::vector<Execution> executions = executions_;
+  std::sort(executions.begin(), executions.end(),
+            [](const Execution& left, const Execution& right) { return left.at < right.at; });
   std::map<int, Execution> newest;
-  for (const Execution& run : runs) {
-    if (run.key < 0) {
+  for (const Execution& execution : executions) {
+    if (execution.key < 0) {
       continue;
     }
-    const auto [place, is_first] = newest.try_emplace(run.key, run);
+    const auto [entry, is_first] = newest.try_emplace(execution.key, execution);
     if (is_first) {
       continue;
     }
-    if (run.token < place->second.token && run.at - place->second.at > kUnorderedWindowMicroseconds) {
-      broken.push_back("key " + std::to_string(run.key) + ": " + run.instance + " ran " + run.id + " with token " +
-                       std::to_string(run.token) + " after " + place->second.instance + " had run with " +
-                       std::to_string(place->second.token));
+    if (execution.token < entry->second.token && execution.at - entry->second.at > kUnorderedWindowMicroseconds) {
+      messages.push_back("key " + std::to_string(execution.key) + ": " + execution.instance + " ran " + execution.id +
+                         " with token " + std::to_string(execution.token) + " after " + entry->second.instance +
+                         " had run with " + std::to_string(entry->second.token));
     }
-    if (run.token >= place->second.token) {
-      place->second = run;
+    if (execution.token >= entry->second.token) {
+      entry->second = execution;
     }
   }
 }
 
-void HistoryChecker::checkAcquisitions(std::vector<std::string>& broken) const {
-  std::vector<Acquisition> takes = acquisitions_;
-  std::sort(takes.begin(), takes.end(),
+void HistoryChecker::checkAcquisitions(std::vector<std::string>& messages) const {
+  std::vector<Acquisition> acquisitions = acquisitions_;
+  std::sort(acquisitions.begin(), acquisitions.end(),
             [](const Acquisition& left, const Acquisition& right) { return left.at < right.at; });
   constexpr int kKeys = 65536;
   std::vector<std::uint64_t> highest(kKeys, 0);
   std::vector<std::string> holder(kKeys);
-  for (const Acquisition& take : takes) {
+  for (const Acquisition& acquisition : acquisitions) {
     bool bad = false;
-    for (int key = take.first; key <= take.last; ++key) {
-      bad = bad || (take.token <= highest[key] && holder[key] != take.instance);
-      if (take.token >= highest[key]) {
-        highest[key] = take.token;
-        holder[key] = take.instance;
+    for (int key = acquisition.first; key <= acquisition.last; ++key) {
+      bad = bad || (acquisition.token <= highest[key] && holder[key] != acquisition.instance);
+      if (acquisition.token >= highest[key]) {
+        highest[key] = acquisition.token;
+        holder[key] = acquisition.instance;
       }
     }
     if (bad) {
-      broken.push_back(take.instance + " took keys " + std::to_string(take.first) + "-" + std::to_string(take.last) +
-                       " with token " + std::to_string(take.token) + ", not above that of another server");
+      messages.push_back(acquisition.instance + " took keys " + std::to_string(acquisition.first) + "-" +
+                         std::to_string(acquisition.last) + " with token " + std::to_string(acquisition.token) +
+                         ", not above that of another server");
     }
   }
 }
 
 std::vector<std::string> HistoryChecker::violations() const {
-  std::vector<std::string> broken;
-  checkRequests(broken);
-  checkTokenOrder(broken);
-  checkAcquisitions(broken);
-  return broken;
+  std::vector<std::string> messages;
+  checkRequests(messages);
+  checkTokenOrder(messages);
+  checkAcquisitions(messages);
+  return messages;
 }
 
 std::vector<std::string> HistoryChecker::interruptedRequests() const {
-  std::set<std::string> begun;
-  for (const Execution& run : executions_) {
-    begun.insert(run.id);
+  std::set<std::string> started;
+  for (const Execution& execution : executions_) {
+    started.insert(execution.id);
   }
-  std::vector<std::string> cut;
+  std::vector<std::string> interrupted;
   for (const ClientRecord& record : records_) {
-    const bool told = record.status == kOk || record.status == kUnavailable || record.status == kTooMany;
-    if (!told && !record.timed_out && begun.contains(record.id)) {
-      cut.push_back("request " + record.id + " was begun at a server, its client got " + std::to_string(record.status));
+    const bool has_definite_status = record.status == kOk || record.status == kUnavailable || record.status == kTooMany;
+    if (!has_definite_status && !record.timed_out && started.contains(record.id)) {
+      interrupted.push_back("request " + record.id + " was begun at a server, its client got " +
+                            std::to_string(record.status));
     }
   }
-  return cut;
+  return interrupted;
 }
 
 CheckCounts HistoryChecker::counts() const {
@@ -142,18 +145,18 @@
 }
 
 std::size_t HistoryChecker::countExecutions(const std::string& id) const {
-  return static_cast<std::size_t>(
-      std::count_if(executions_.begin(), executions_.end(), [&id](const Execution& run) { return run.id == id; }));
+  return static_cast<std::size_t>(std::count_if(executions_.begin(), executions_.end(),
+                                                [&id](const Execution& execution) { return execution.id == id; }));
 }
 
 std::size_t HistoryChecker::countInstances(const std::string& id_prefix) const {
-  std::set<std::string> lives;
-  for (const Execution& run : executions_) {
-    if (run.id.starts_with(id_prefix)) {
-      lives.insert(run.instance);
+  std::set<std::string> instances;
+  for (const Execution& execution : executions_) {
+    if (execution.id.starts_with(id_prefix)) {
+      instances.insert(execution.instance);
     }
   }
-  return lives.size();
+  return instances.size();
 }
 
 }  // namespace shedlever::check
--- a/source/lab/check/run_checks.h
+++ b/source/lab/check/run_checks.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Checks the promises from what clients saw and what servers wrote into their logs.
+/// Checks the guarantees of the router against the results that clients received and the logs of the servers.
 
 #include <cstdint>
 #include <map>
@@ -12,18 +12,18 @@
 
 namespace shedlever::check {
 
-/// How a client's request ended, as the client saw it.
+/// Result of one request as its client received it.
 struct ClientRecord {
   std::string id;
   bool at_most_once = false;
-  /// 0: no answer.
+  /// HTTP status; 0 if the client received no response.
   int status = 0;
   std::string body;
-  /// Its time was over before it ended.
+  /// The request's deadline passed before it ended.
   bool timed_out = false;
 };
 
-/// Counts of one run, for its summary.
+/// Totals for the summary of a run.
 struct CheckCounts {
   std::size_t requests = 0;
   std::size_t served = 0;
@@ -33,30 +33,31 @@
   std::size_t acquisitions = 0;
 };
 
+/// Collects client records and server logs of one run and reports where they contradict the guarantees.
 class HistoryChecker {
  public:
   void addClientRecord(const ClientRecord& record) { records_.push_back(record); }
 
-  /// Reads a server's log: lines "microseconds instance event ...".
+  /// Adds the events of a server's log, whose lines have the form "microseconds instance event ..."; other events than
+  /// "begin" and "take" are ignored.
   void readLog(const std::string& path);
 
-  /// @return what was broken, one sentence each:
-  ///   a once-only request ran twice; a refused one ran; an answer is not the server's to this request; a key's runs
-  ///   went back to a lower token, so that an owner before the present one still ran; a server took a key with a token
-  ///   that is not above those of others before.
+  /// @return one message for each violation: an at-most-once request was executed more than once; an at-most-once
+  ///   request was refused although it was executed; a successful response does not belong to its request; a request
+  ///   for a key was executed with a lower token than an earlier one, so that a previous owner was still active; a
+  ///   server acquired a key with a token that is not higher than that of another server before.
   std::vector<std::string> violations() const;
 
-  /// @return requests that a server had begun and whose clients were told of a failure, or nothing, though they had
-  /// time
-  ///   left, one sentence each. Where nothing but planned work happens there must be none.
+  /// @return one message for each request that a server started and whose client got no definite status before its
+  ///   deadline. Planned operations alone must not cause any.
   std::vector<std::string> interruptedRequests() const;
 
   CheckCounts counts() const;
 
-  /// @return how often servers began the request.
+  /// @return how often servers started to execute the request.
   std::size_t countExecutions(const std::string& id) const;
 
-  /// @return how many lives of servers began requests whose ids begin so.
+  /// @return the number of server instances that started requests whose ids have the prefix.
   std::size_t countInstances(const std::string& id_prefix) const;
 
  private:
@@ -75,9 +76,9 @@
     std::uint64_t token = 0;
   };
 
-  void checkRequests(std::vector<std::string>& broken) const;
-  void checkTokenOrder(std::vector<std::string>& broken) const;
-  void checkAcquisitions(std::vector<std::string>& broken) const;
+  void checkRequests(std::vector<std::string>& messages) const;
+  void checkTokenOrder(std::vector<std::string>& messages) const;
+  void checkAcquisitions(std::vector<std::string>& messages) const;
 
   std::vector<ClientRecord> records_;
   std::vector<Execution> executions_;
--- a/source/lab/load/answer_checker.cc
+++ b/source/lab/load/answer_checker.cc
@@ -8,15 +8,16 @@
   idempotency_keys_[id] = request.idempotency_key;
 }
 
-bool ResponseChecker::idMatches(const PlannedRequest& request, const RequestId& own, const RequestId& answered) const {
-  if (answered == own) {
+bool ResponseChecker::idMatches(const PlannedRequest& request, const RequestId& own_id,
+                                const RequestId& response_id) const {
+  if (response_id == own_id) {
     return true;
   }
   if (request.idempotency_key.empty()) {
     return false;
   }
-  // A repeated once-only request gets the answer of the one that ran, whose id may not be known here.
-  const auto found = idempotency_keys_.find(answered);
+  // A repeated at-most-once request gets the response of the request that ran, whose id may be unknown here.
+  const auto found = idempotency_keys_.find(response_id);
   return found == idempotency_keys_.end() || found->second == request.idempotency_key;
 }
 
@@ -26,8 +27,8 @@
   if (!body.starts_with(kAnswerText)) {
     return ResponseFault::Truncated;
   }
-  const RequestId answered(body.substr(kAnswerText.size()));
-  return idMatches(request, id, answered) ? ResponseFault::None : ResponseFault::Wrong;
+  const RequestId response_id(body.substr(kAnswerText.size()));
+  return idMatches(request, id, response_id) ? ResponseFault::None : ResponseFault::Wrong;
 }
 
 }  // namespace shedlever::load
--- a/source/lab/load/answer_checker.h
+++ b/source/lab/load/answer_checker.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Checks that an answer is whole and belongs to its own request. Answers have the form that the stand-in
-/// server gives them (docs/PROTOCOLS.md).
+/// Checks that a response is complete and belongs to its request. Expects the response bodies of the stand-in server
+/// (docs/PROTOCOLS.md).
 
 #include <map>
 #include <string>
@@ -15,16 +15,16 @@
 
 class ResponseChecker {
  public:
-  /// Call for every reply that carries a request id, answered or not, before `check`.
+  /// Must be called for every response that carries a request id, with any outcome, before `check`.
   void addRequest(const RequestId& id, const PlannedRequest& request);
 
-  /// @param id the request's own id, as the gateway told it.
+  /// @param id the request's id as reported by the gateway.
   ResponseFault check(const PlannedRequest& request, const RequestId& id, const std::string& body) const;
 
  private:
-  bool idMatches(const PlannedRequest& request, const RequestId& own, const RequestId& answered) const;
+  bool idMatches(const PlannedRequest& request, const RequestId& own_id, const RequestId& response_id) const;
 
-  /// Of all requests whose id is known.
+  /// Idempotency keys of all requests whose id is known.
   std::map<RequestId, IdempotencyKey> idempotency_keys_;
 };
 
--- a/source/lab/load/latency_histogram.cc
+++ b/source/lab/load/latency_histogram.cc
@@ -38,12 +38,12 @@
   max_ = std::max(max_, latency);
 }
 
-Duration LatencyHistogram::quantile(double share) const {
-  const auto wanted = static_cast<std::uint64_t>(std::ceil(share * static_cast<double>(count_)));
-  std::uint64_t seen = 0;
+Duration LatencyHistogram::quantile(double fraction) const {
+  const auto target_count = static_cast<std::uint64_t>(std::ceil(fraction * static_cast<double>(count_)));
+  std::uint64_t cumulative_count = 0;
   for (std::size_t bucket = 0; bucket < kBuckets; ++bucket) {
-    seen += buckets_[bucket];
-    if (seen > 0 && seen >= wanted) {
+    cumulative_count += buckets_[bucket];
+    if (cumulative_count > 0 && cumulative_count >= target_count) {
       return std::min(Duration(static_cast<Duration::rep>(upperBound(bucket))), max_);
     }
   }
--- a/source/lab/load/latency_histogram.h
+++ b/source/lab/load/latency_histogram.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Latencies in buckets of equal relative width.
+/// Latency histogram with logarithmic buckets, each divided into linear sub-buckets.
 
 #include <array>
 #include <cstdint>
@@ -10,14 +10,15 @@
 
 namespace shedlever::load {
 
-/// Quantiles are exact to about 3 percent, from 1 microsecond to over an hour.
+/// Quantiles have a relative error of about 3 percent, from 1 microsecond to more than an hour.
 class LatencyHistogram {
  public:
   void add(Duration latency);
 
-  /// @param share in [0, 1], e.g. 0.99.
-  /// @return the upper edge of the bucket that holds the quantile; zero when empty.
-  Duration quantile(double share) const;
+  /// @param fraction in [0, 1], for example 0.99.
+  /// @return the upper bound of the bucket that holds the quantile, at most the maximum; zero if the histogram is
+  /// empty.
+  Duration quantile(double fraction) const;
 
   std::uint64_t count() const { return count_; }
   Duration max() const { return max_; }
--- a/source/lab/load/load_command.cc
+++ b/source/lab/load/load_command.cc
@@ -18,7 +18,7 @@
 
 constexpr Duration kProgressInterval = std::chrono::milliseconds(500);
 
-/// Shows a progress line on a terminal while a load runs; shows nothing elsewhere.
+/// Shows a progress line while a load runs if standard error is a terminal.
 class ProgressLine {
  public:
   ProgressLine(EventLoop& loop, const LoadRunner& runner) : loop_(loop), runner_(runner) {
@@ -80,16 +80,16 @@
   runner.start();
   {
     const ProgressLine progress(loop, runner);
-    const Duration cap = options.config.duration + 2 * (options.config.deadline + options.config.reply_grace);
-    loop.runUntil([&runner] { return runner.done(); }, cap);
+    const Duration max_run_time = options.config.duration + 2 * (options.config.deadline + options.config.reply_grace);
+    loop.runUntil([&runner] { return runner.done(); }, max_run_time);
   }
   const LoadReport report = makeReport(runner.records(), kSlowAnswerThreshold);
   if (!write(options, report, runner.records())) {
-    std::cerr << "load: can't write the report file=" << options.output << "\n";
+    std::cerr << "load: cannot write the report file=" << options.output << "\n";
     return EXIT_FAILURE;
   }
-  const bool clean = report.tally.wrong() == 0 && report.tally.truncated() == 0;
-  return clean ? EXIT_SUCCESS : EXIT_FAILURE;
+  const bool all_correct = report.tally.wrong() == 0 && report.tally.truncated() == 0;
+  return all_correct ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
 }  // namespace
--- a/source/lab/load/load_config.h
+++ b/source/lab/load/load_config.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What a load run is to do.
+/// Configuration of a load run.
 
 #include <cstdint>
 #include <string>
@@ -12,25 +12,25 @@
 
 namespace shedlever::load {
 
-/// A service as callers see it.
+/// A service that the load sends requests to.
 struct ServiceTarget {
   ServiceName name;
-  /// With a slash at both ends, as in the service's settings.
+  /// Begins and ends with a slash, as in the service's settings.
   std::string path_prefix;
-  /// Requests carry an `Idempotency-Key`.
+  /// Whether requests carry an `Idempotency-Key`.
   bool at_most_once = false;
-  /// Share of the requests, relative to the other services.
+  /// Relative to the weights of the other services.
   double weight = 1.0;
-  /// The header that carries the key as well; empty: the path alone does.
+  /// Header that carries the key in addition to the path; empty if the key is in the path only.
   std::string key_header = {};
 };
 
-/// One caller group.
+/// A tenant in whose name the load sends requests.
 struct TenantTarget {
   TenantName name;
-  /// Bearer credential.
+  /// Bearer token.
   std::string credential;
-  /// Share of the requests, relative to the other tenants.
+  /// Relative to the weights of the other tenants.
   double weight = 1.0;
 };
 
@@ -39,24 +39,25 @@
   std::vector<ServiceTarget> services;
   std::vector<TenantTarget> tenants;
   std::uint64_t seed = 1;
-  /// Requests a second over all gateways; each has its due time whether earlier ones have ended or not.
+  /// Requests per second over all gateways. Due times do not depend on whether earlier requests have ended.
   double rate = 100.0;
-  /// Time in which requests are made; those under way are waited for afterwards.
+  /// Time during which requests are sent; requests in flight are awaited afterwards.
   Duration duration = std::chrono::seconds(10);
-  /// Keys of each service.
+  /// Number of keys of each service.
   std::uint64_t keys = 200;
-  /// Exponent of the Zipf distribution of keys; 0: all alike.
+  /// Exponent of the Zipf distribution of the keys; 0 makes all keys equally likely.
   double skew = 0.9;
-  /// Other keys become hot every so often; zero: never.
+  /// Interval after which other keys become hot; zero means never.
   Duration hot_key_shift_interval = Duration::zero();
-  /// Share of once-only requests that repeat the idempotency key (and all else) of an earlier one.
+  /// Ratio of at-most-once requests that repeat an earlier request with its idempotency key, in [0, 1].
   double repeat_ratio = 0.2;
   /// `Shedlever-Deadline` of each request.
   Duration deadline = std::chrono::seconds(3);
-  /// Time beyond the deadline after which a request counts as having got no reply.
+  /// Time after the deadline at which a request without a response times out.
   Duration reply_grace = std::chrono::seconds(2);
+  /// Minimum size of each request body.
   std::uint32_t body_bytes = 64;
-  /// Requests under way at the same time; those due beyond it are counted as not sent.
+  /// Maximum number of requests in flight; requests due beyond the limit are recorded as not sent.
   std::uint32_t in_flight_limit = 2000;
 };
 
--- a/source/lab/load/load_options.cc
+++ b/source/lab/load/load_options.cc
@@ -11,7 +11,7 @@
 
 namespace options = boost::program_options;
 
-/// The command line as given, before the checks.
+/// Command-line values before validation.
 struct Flags {
   std::vector<std::string> gateways;
   std::vector<std::string> services;
@@ -25,29 +25,34 @@
   LoadConfig& config = result.config;
   options::options_description text("shedlever-lab load: open-loop requests to routers");
   auto add = text.add_options();
-  add("help", "this text");
-  add("gateway", options::value(&flags.gateways)->composing(), "IP:PORT where a router takes requests; repeatable");
+  add("help", "print this help");
+  add("gateway", options::value(&flags.gateways)->composing(),
+      "IP:PORT on which a router accepts requests; repeatable");
   add("service", options::value(&flags.services)->composing(), "NAME=PREFIX or NAME=PREFIX,once-only; repeatable");
   add("tenant", options::value(&flags.tenants)->composing(), "NAME=CREDENTIAL or NAME=CREDENTIAL,WEIGHT; repeatable");
-  add("rate", options::value(&config.rate)->default_value(config.rate), "requests a second");
-  add("seconds", options::value(&flags.seconds)->default_value(flags.seconds), "time in which requests are made");
-  add("keys", options::value(&config.keys)->default_value(config.keys), "keys of each service");
-  add("skew", options::value(&config.skew)->default_value(config.skew), "Zipf exponent of the keys");
+  add("rate", options::value(&config.rate)->default_value(config.rate), "requests per second");
+  add("seconds", options::value(&flags.seconds)->default_value(flags.seconds), "time during which requests are sent");
+  add("keys", options::value(&config.keys)->default_value(config.keys), "number of keys of each service");
+  add("skew", options::value(&config.skew)->default_value(config.skew),
+      "exponent of the Zipf distribution of the keys");
   add("repeat-share", options::value(&config.repeat_ratio)->default_value(config.repeat_ratio),
-      "share of once-only requests that repeat an earlier one");
-  add("deadline-ms", options::value(&flags.deadline_ms)->default_value(flags.deadline_ms), "deadline of each request");
-  add("body-bytes", options::value(&config.body_bytes)->default_value(config.body_bytes), "request bodies");
-  add("seed", options::value(&config.seed)->default_value(config.seed), "the same seed makes the same requests");
-  add("format", options::value(&flags.format)->default_value(flags.format), "text, json, or csv (one line a request)");
-  add("output", options::value(&result.output), "file for the report; standard output when left out");
+      "ratio of once-only requests that repeat an earlier request");
+  add("deadline-ms", options::value(&flags.deadline_ms)->default_value(flags.deadline_ms),
+      "deadline of each request in milliseconds");
+  add("body-bytes", options::value(&config.body_bytes)->default_value(config.body_bytes),
+      "minimum size of each request body in bytes");
+  add("seed", options::value(&config.seed)->default_value(config.seed), "seed of the request sequence");
+  add("format", options::value(&flags.format)->default_value(flags.format),
+      "text, json, or csv (one line per request)");
+  add("output", options::value(&result.output), "file for the report; standard output by default");
   return text;
 }
 
-/// "NAME=REST" or "NAME=REST,EXTRA".
+/// "NAME=VALUE" or "NAME=VALUE,OPTION".
 struct NamedValue {
   std::string name;
-  std::string rest;
-  std::string extra;
+  std::string value;
+  std::string option;
 };
 
 NamedValue split(const std::string& text) {
@@ -58,7 +63,7 @@
   const std::size_t comma = text.find(',', equals);
   NamedValue named{text.substr(0, equals), text.substr(equals + 1, comma - equals - 1), ""};
   if (comma != std::string::npos) {
-    named.extra = text.substr(comma + 1);
+    named.option = text.substr(comma + 1);
   }
   return named;
 }
@@ -84,12 +89,12 @@
 void readServices(const Flags& flags, LoadConfig& config, Findings& findings) {
   for (const std::string& text : flags.services) {
     const NamedValue named = split(text);
-    const bool prefix_fits = named.rest.size() > 1 && named.rest.front() == '/' && named.rest.back() == '/';
-    if (named.name.empty() || !prefix_fits || (!named.extra.empty() && named.extra != "once-only")) {
+    const bool prefix_fits = named.value.size() > 1 && named.value.front() == '/' && named.value.back() == '/';
+    if (named.name.empty() || !prefix_fits || (!named.option.empty() && named.option != "once-only")) {
       findings.add("--service " + text, "must be NAME=/PREFIX/ or NAME=/PREFIX/,once-only");
       continue;
     }
-    config.services.push_back({ServiceName(named.name), named.rest, named.extra == "once-only"});
+    config.services.push_back({ServiceName(named.name), named.value, named.option == "once-only"});
   }
   if (flags.services.empty()) {
     findings.add("--service", "must be given at least once");
@@ -100,14 +105,14 @@
   for (const std::string& text : flags.tenants) {
     const NamedValue named = split(text);
     std::uint32_t weight = 1;
-    const char* const end = named.extra.data() + named.extra.size();
-    const auto [read_to, error] = std::from_chars(named.extra.data(), end, weight);
-    const bool weight_fits = named.extra.empty() || (error == std::errc() && read_to == end && weight > 0);
-    if (named.name.empty() || named.rest.empty() || !weight_fits) {
+    const char* const end = named.option.data() + named.option.size();
+    const auto [read_to, error] = std::from_chars(named.option.data(), end, weight);
+    const bool weight_fits = named.option.empty() || (error == std::errc() && read_to == end && weight > 0);
+    if (named.name.empty() || named.value.empty() || !weight_fits) {
       findings.add("--tenant " + named.name, "must be NAME=CREDENTIAL or NAME=CREDENTIAL,WEIGHT");
       continue;
     }
-    config.tenants.push_back({TenantName(named.name), named.rest, static_cast<double>(weight)});
+    config.tenants.push_back({TenantName(named.name), named.value, static_cast<double>(weight)});
   }
   if (flags.tenants.empty()) {
     findings.add("--tenant", "must be given at least once");
@@ -130,7 +135,7 @@
     findings.add("--keys", "must be at least 1");
   }
   if (!(config.repeat_ratio >= 0 && config.repeat_ratio <= 1)) {
-    findings.add("--repeat-share", "must lie between 0 and 1");
+    findings.add("--repeat-share", "must be between 0 and 1");
   }
   config.deadline = std::chrono::milliseconds(flags.deadline_ms);
   if (flags.format == "json") {
--- a/source/lab/load/load_options.h
+++ b/source/lab/load/load_options.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The command line of `shedlever-lab load`.
+/// Command-line options of `shedlever-lab load`.
 
 #include <string>
 #include <vector>
@@ -16,15 +16,15 @@
 struct LoadOptions {
   LoadConfig config;
   ReportFormat format = ReportFormat::Text;
-  /// File for the report; empty: standard output.
+  /// File for the report; empty for standard output.
   std::string output;
   bool help = false;
 };
 
-/// @return the options, or Findings with every wrong value.
+/// @return the options, or Findings with every invalid value.
 leaf::result<LoadOptions> parseLoadOptions(const std::vector<std::string>& arguments);
 
-/// @return the text for `--help`.
+/// @return the help text.
 std::string loadHelp();
 
 }  // namespace shedlever::load
--- a/source/lab/load/load_report.cc
+++ b/source/lab/load/load_report.cc
@@ -10,7 +10,7 @@
 
 struct NamedQuantile {
   const char* name;
-  double share;
+  double fraction;
 };
 
 constexpr std::array<NamedQuantile, 4> kQuantiles = {{{"p50", 0.5}, {"p90", 0.9}, {"p99", 0.99}, {"p99.9", 0.999}}};
@@ -34,9 +34,9 @@
 
 }  // namespace
 
-LoadReport makeReport(const std::vector<RequestRecord>& records, Duration slow_limit) {
+LoadReport makeReport(const std::vector<RequestRecord>& records, Duration slow_threshold) {
   LoadReport report;
-  UnavailabilityMeter meter(slow_limit);
+  UnavailabilityMeter meter(slow_threshold);
   for (const RequestRecord& record : records) {
     report.tally.add(record);
     meter.add(record);
@@ -55,17 +55,17 @@
   for (const auto& [reason, count] : report.tally.byReason()) {
     text << "    " << reason << " " << count << "\n";
   }
-  text << "latency of answers from when due, ms:";
+  text << "latency of answered requests since due time, ms:";
   for (const NamedQuantile& quantile : kQuantiles) {
-    text << " " << quantile.name << " " << milliseconds(report.tally.latency().quantile(quantile.share));
+    text << " " << quantile.name << " " << milliseconds(report.tally.latency().quantile(quantile.fraction));
   }
   text << " max " << milliseconds(report.tally.latency().max()) << "\n";
-  text << "unavailable keys " << report.unavailable_keys << "; one key's longest, ms: proved "
+  text << "unavailable keys " << report.unavailable_keys << "; longest of one key, ms: at least "
        << milliseconds(report.unavailable.longest_lower_bound) << ", at most "
-       << milliseconds(report.unavailable.longest_upper_bound) << "; sum over keys, ms: proved "
+       << milliseconds(report.unavailable.longest_upper_bound) << "; sum over keys, ms: at least "
        << milliseconds(report.unavailable.total_lower_bound) << ", at most "
        << milliseconds(report.unavailable.total_upper_bound) << "\n";
-  text << "wrong answers " << report.tally.wrong() << ", cut answers " << report.tally.truncated() << "\n";
+  text << "wrong responses " << report.tally.wrong() << ", truncated responses " << report.tally.truncated() << "\n";
   return text.str();
 }
 
@@ -80,7 +80,7 @@
   }
   json["reasons"] = report.tally.byReason();
   for (const NamedQuantile& quantile : kQuantiles) {
-    json["latency_ms"][quantile.name] = milliseconds(report.tally.latency().quantile(quantile.share));
+    json["latency_ms"][quantile.name] = milliseconds(report.tally.latency().quantile(quantile.fraction));
   }
   json["latency_ms"]["max"] = milliseconds(report.tally.latency().max());
   json["unavailable"] = {{"keys", report.unavailable_keys},
--- a/source/lab/load/load_report.h
+++ b/source/lab/load/load_report.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The result of a load, as text, JSON or CSV.
+/// Formats the result of a load as text, JSON or CSV.
 
 #include <string>
 #include <vector>
@@ -12,24 +12,24 @@
 
 namespace shedlever::load {
 
-/// All figures of one load.
+/// Aggregated results of one load.
 struct LoadReport {
   OutcomeTally tally;
   Unavailability unavailable;
-  /// Keys that were unavailable at all.
+  /// Number of keys that were unavailable at least once.
   std::size_t unavailable_keys = 0;
 };
 
-/// @param slow_limit latency from which an answered request counts as having waited for an unavailable key.
-LoadReport makeReport(const std::vector<RequestRecord>& records, Duration slow_limit);
+/// @param slow_threshold latency above which an answered request counts as delayed by an unavailable key.
+LoadReport makeReport(const std::vector<RequestRecord>& records, Duration slow_threshold);
 
 std::string reportText(const LoadReport& report);
 std::string reportJson(const LoadConfig& config, const LoadReport& report);
 
-/// One line a request, with a header line.
+/// @return a header line and one line per request.
 std::string recordsCsv(const LoadConfig& config, const std::vector<RequestRecord>& records);
 
-/// Default of `slow_limit`.
+/// Default of `slow_threshold`.
 inline constexpr Duration kSlowAnswerThreshold = std::chrono::milliseconds(250);
 
 }  // namespace shedlever::load
--- a/source/lab/load/load_runner.cc
+++ b/source/lab/load/load_runner.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/// Keeps the arrival times apart from the choice of requests.
+/// Makes the random stream of the arrival times independent of that of the requests.
 constexpr std::uint64_t kScheduleSeed = 0x5ced;
 constexpr int kHttpOk = 200;
 
@@ -40,7 +40,7 @@
   for (const Endpoint& gateway : config_.gateways) {
     HttpClientConfig client;
     client.server = gateway;
-    // No request of an open-loop load waits for a connection.
+    // Requests of an open-loop load must not wait for a connection.
     client.connections = config_.in_flight_limit;
     clients_.push_back(std::make_unique<HttpClient>(loop_, client));
   }
@@ -161,7 +161,7 @@
     record.outcome = CallerOutcome::Unknown;
   } else if (outcome == toString(Outcome::Answered)) {
     record.outcome = CallerOutcome::Answered;
-    // The stand-in server answers every request that ran with 200.
+    // The stand-in server responds with 200 to every request that runs.
     const bool ok = response.status == kHttpOk;
     record.fault = ok ? checker_.check(planned, record.id, response.body) : ResponseFault::Wrong;
   } else {
--- a/source/lab/load/load_runner.h
+++ b/source/lab/load/load_runner.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Drives real gateways with an open-loop load.
+/// Sends an open-loop load to gateways over HTTP.
 
 #include <functional>
 #include <memory>
@@ -17,7 +17,7 @@
 
 namespace shedlever::load {
 
-/// Counts while a load runs.
+/// Progress of a running load.
 struct LoadProgress {
   std::uint64_t due = 0;
   std::uint64_t ended = 0;
@@ -27,24 +27,24 @@
 
 class LoadRunner {
  public:
-  /// @param loop, clock outlive the runner.
+  /// @param loop, clock must outlive the runner.
   LoadRunner(EventLoop& loop, const Clock& clock, LoadConfig config);
   ~LoadRunner();
   LoadRunner(const LoadRunner&) = delete;
   LoadRunner& operator=(const LoadRunner&) = delete;
 
-  /// Begins; the load then runs as the loop does.
+  /// Schedules the first request; the load proceeds while the loop runs.
   void start();
 
-  /// Makes no more requests; those under way are still waited for.
+  /// Sends no more requests; requests in flight still complete.
   void stopSending();
 
-  /// @return whether the time is over and no request is under way.
+  /// @return whether sending has stopped and no request is in flight.
   bool done() const { return sending_stopped_ && in_flight_ == 0; }
 
   LoadProgress progress() const;
 
-  /// Records of the requests that have ended, in that order.
+  /// Records of finished requests in the order in which they ended.
   const std::vector<RequestRecord>& records() const { return records_; }
 
   const LoadConfig& config() const { return config_; }
--- a/source/lab/load/open_loop_schedule.h
+++ b/source/lab/load/open_loop_schedule.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Due times of an open-loop load: independent of how fast answers come.
+/// Due times of an open-loop load, which do not depend on response times.
 
 #include "shedlever/time.h"
 #include "source/lab/load/random_stream.h"
@@ -11,10 +11,10 @@
 /// Poisson arrivals at a mean rate.
 class OpenLoopSchedule {
  public:
-  /// @param rate requests a second, above 0.
+  /// @param rate requests per second, above 0.
   OpenLoopSchedule(double rate, std::uint64_t seed);
 
-  /// @return the next due time, counted from the beginning of the load; never decreasing.
+  /// @return the next due time since the start of the load; never decreases.
   Duration next();
 
  private:
--- a/source/lab/load/outcome_tally.h
+++ b/source/lab/load/outcome_tally.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Sums up the records of a load.
+/// Counts the records of a load by outcome.
 
 #include <cstdint>
 #include <map>
@@ -22,7 +22,7 @@
   const std::map<std::string, std::uint64_t>& byReason() const { return by_reason_; }
   std::uint64_t wrong() const { return wrong_; }
   std::uint64_t truncated() const { return truncated_; }
-  /// Latency of answered requests, from when they were due.
+  /// Latency of answered requests since their due times.
   const LatencyHistogram& latency() const { return latency_; }
 
  private:
--- a/source/lab/load/request_generator.cc
+++ b/source/lab/load/request_generator.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-/// Once-only requests kept for repetition.
+/// Maximum number of at-most-once requests kept for repetition.
 constexpr std::size_t kRepeatableLimit = 64;
-/// Ranks that one shift moves the keys by: a prime, so that hot keys don't come back soon.
+/// A prime, so that successive shifts rarely make the same keys hot again.
 constexpr std::uint64_t kRankShift = 7919;
 
 }  // namespace
--- a/source/lab/load/request_generator.h
+++ b/source/lab/load/request_generator.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Makes the requests of a load: service, tenant, gateway, key and body, from a seed.
+/// Generates the requests of a load from a seed.
 
 #include <cstdint>
 #include <string>
@@ -13,18 +13,18 @@
 
 namespace shedlever::load {
 
-/// One request to be made.
+/// A request to be sent.
 struct PlannedRequest {
   std::uint64_t sequence = 0;
-  /// Indexes into the lists of the load's configuration.
+  /// `service`, `tenant` and `gateway` are indexes into the lists of the load's configuration.
   std::size_t service = 0;
   std::size_t tenant = 0;
   std::size_t gateway = 0;
   std::string key;
   std::string target;
-  /// Differs from the body of every other request but those with the same idempotency key.
+  /// Unique, except among requests with the same idempotency key.
   std::string body;
-  /// Empty unless the service is once-only.
+  /// Empty unless the service requires at-most-once execution.
   IdempotencyKey idempotency_key;
 };
 
@@ -34,7 +34,7 @@
 
   PlannedRequest next();
 
-  /// Shifts the ranks of all keys, so that other keys are hot from now on.
+  /// Shifts the ranks of all keys, so that other keys become the hot ones.
   void shiftHotKeys();
 
  private:
@@ -46,9 +46,9 @@
   RandomStream random_;
   ZipfDistribution keys_;
   std::uint64_t sequence_ = 0;
-  /// Added to each rank, modulo the number of keys.
+  /// Offset added to each rank, modulo the number of keys.
   std::uint64_t rank_shift_ = 0;
-  /// Last once-only requests, to be repeated; bounded.
+  /// Bounded sample of at-most-once requests for repetition.
   std::vector<PlannedRequest> repeatable_;
 };
 
--- a/source/lab/load/request_record.h
+++ b/source/lab/load/request_record.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What became of one request of a load.
+/// Result of one request of a load.
 
 #include <cstdint>
 #include <string>
@@ -11,46 +11,46 @@
 
 namespace shedlever::load {
 
-/// The caller's view of how a request ended.
+/// Outcome of a request from the point of view of the caller.
 enum class CallerOutcome : std::uint8_t {
   Answered,
   NotRun,
   Unknown,
-  NoReply,  ///< the gateway gave no whole reply: as good as unknown
-  NotSent,  ///< no connection to the gateway, or too many requests under way: the caller knows that it did not run
+  NoReply,  ///< no complete response from the gateway; the caller must treat the outcome as unknown
+  NotSent,  ///< no connection to the gateway, or too many requests in flight; the request did not run
 };
 
 /// @return "answered", "not-run", "unknown", "no-reply" or "not-sent".
 const char* toString(CallerOutcome outcome);
 
-/// What is wrong with an answer that the gateway called whole.
+/// Fault of a response that was received completely.
 enum class ResponseFault : std::uint8_t {
   None,
-  Wrong,      ///< belongs to another request
-  Truncated,  ///< not whole, or not readable
+  Wrong,      ///< belongs to another request, has an unexpected status or names no outcome
+  Truncated,  ///< the body does not have the expected form
 };
 
 struct RequestRecord {
   std::uint64_t sequence = 0;
-  /// Index into the load's services.
+  /// `service`, `tenant` and `gateway` are indexes into the lists of the load's configuration.
   std::size_t service = 0;
   std::size_t tenant = 0;
   std::size_t gateway = 0;
   std::string key;
   IdempotencyKey idempotency_key;
-  /// As told by the gateway; empty without a reply.
+  /// As reported by the gateway; empty without a response.
   RequestId id;
   CallerOutcome outcome = CallerOutcome::NoReply;
-  /// `Shedlever-Reason`; empty when answered.
+  /// Value of the header `Shedlever-Reason`, or why there was no response; empty when answered.
   std::string reason;
   int http_status = 0;
   ResponseFault fault = ResponseFault::None;
-  /// Counted from the beginning of the load.
+  /// `due`, `sent` and `ended` are measured from the start of the load.
   Duration due = Duration::zero();
   Duration sent = Duration::zero();
   Duration ended = Duration::zero();
 
-  /// @return time from when the request was due.
+  /// @return the time from when the request was due until it ended.
   Duration latency() const { return ended - due; }
 };
 
--- a/source/lab/load/unavailability_meter.cc
+++ b/source/lab/load/unavailability_meter.cc
@@ -28,7 +28,7 @@
   const bool in_time = record.latency() <= slow_threshold_;
   samples_[name].push_back({record.due, record.ended, record.outcome == CallerOutcome::Answered && in_time});
   if (record.outcome == CallerOutcome::Answered && !in_time) {
-    // The answer itself proves the key available at its end.
+    // The response shows that the key was available when it arrived.
     samples_[name].push_back({record.ended, record.ended, true});
   }
 }
@@ -37,28 +37,28 @@
   std::stable_sort(samples.begin(), samples.end(),
                    [](const Sample& left, const Sample& right) { return left.due < right.due; });
   Unavailability result;
-  bool open = false;
+  bool in_gap = false;
   Duration begin = Duration::zero();
   Duration last_failed_end = Duration::zero();
-  const auto close = [&](Duration end) {
-    const Duration proved = std::min(last_failed_end, std::max(end, begin)) - begin;
-    result.longest_lower_bound = std::max(result.longest_lower_bound, proved);
-    result.total_lower_bound += proved;
+  const auto endGap = [&](Duration end) {
+    const Duration lower_bound = std::min(last_failed_end, std::max(end, begin)) - begin;
+    result.longest_lower_bound = std::max(result.longest_lower_bound, lower_bound);
+    result.total_lower_bound += lower_bound;
     result.longest_upper_bound = std::max(result.longest_upper_bound, end - begin);
     result.total_upper_bound += end - begin;
-    open = false;
+    in_gap = false;
   };
   for (const Sample& sample : samples) {
-    if (sample.answered && open) {
-      close(sample.due);
+    if (sample.answered && in_gap) {
+      endGap(sample.due);
     } else if (!sample.answered) {
-      begin = open ? begin : sample.due;
-      last_failed_end = open ? std::max(last_failed_end, sample.ended) : sample.ended;
-      open = true;
+      begin = in_gap ? begin : sample.due;
+      last_failed_end = in_gap ? std::max(last_failed_end, sample.ended) : sample.ended;
+      in_gap = true;
     }
   }
-  if (open) {
-    close(last_failed_end);
+  if (in_gap) {
+    endGap(last_failed_end);
   }
   return result;
 }
--- a/source/lab/load/unavailability_meter.h
+++ b/source/lab/load/unavailability_meter.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Unavailable time per key: when its requests could not be answered.
+/// Measures for each key how long its requests were not answered.
 
 #include <map>
 #include <string>
@@ -11,30 +11,30 @@
 
 namespace shedlever::load {
 
-/// Unavailable time of one key, or over many.
+/// Bounds of the unavailable time of one key or of all keys.
 struct Unavailability {
-  /// From the due time of a request that was not answered to the end of the last such one in a row: that
-  /// long the key certainly was unavailable.
+  /// Lower bounds: a gap lasts from the due time of the first unanswered request until the end of the last unanswered
+  /// request in a row.
   Duration longest_lower_bound = Duration::zero();
   Duration total_lower_bound = Duration::zero();
-  /// The same up to the due time of the next answered request: no longer than that.
+  /// Upper bounds: a gap lasts until the due time of the next answered request.
   Duration longest_upper_bound = Duration::zero();
   Duration total_upper_bound = Duration::zero();
 };
 
-/// Takes records in any order. A request that was answered late, beyond `slow_limit`, counts as unavailable
-/// from its due time until its answer.
+/// Accepts records in any order. A request whose latency exceeds `slow_threshold` counts as a gap from its due time
+/// until its response.
 class UnavailabilityMeter {
  public:
-  /// @param slow_limit latency from which an answered request counts as having waited for an unavailable key.
-  explicit UnavailabilityMeter(Duration slow_limit) : slow_threshold_(slow_limit) {}
+  /// @param slow_threshold latency above which an answered request counts as delayed by an unavailable key.
+  explicit UnavailabilityMeter(Duration slow_threshold) : slow_threshold_(slow_threshold) {}
 
   void add(const RequestRecord& record);
 
-  /// @return for each key "SERVICE-INDEX/KEY" that was unavailable at all.
+  /// @return an entry "SERVICE-INDEX/KEY" for each key that was unavailable.
   std::map<std::string, Unavailability> perKey() const;
 
-  /// @return the longest gaps over all keys and the sums over all keys.
+  /// @return the longest gap of any key and the sums over all keys.
   Unavailability total() const;
 
  private:
@@ -49,8 +49,8 @@
   std::map<std::string, std::vector<Sample>> samples_;
 };
 
-/// @return whether the outcome says something of the key's availability: refusals of a repeated idempotency
-/// key and of the request itself don't.
+/// @return whether the outcome depends on the key's availability. False for requests that were not sent, and for
+/// rejections of the request itself or of a repeated idempotency key.
 bool reflectsAvailability(const RequestRecord& record);
 
 }  // namespace shedlever::load
--- a/source/lab/load/zipf_distribution.h
+++ b/source/lab/load/zipf_distribution.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Zipf-distributed ranks.
+/// Zipf distribution over ranks.
 
 #include <cstdint>
 #include <vector>
@@ -12,7 +12,7 @@
 class ZipfDistribution {
  public:
   /// @param count number of ranks, at least 1.
-  /// @param skew 0 makes all ranks alike.
+  /// @param skew exponent; 0 makes all ranks equally likely.
   ZipfDistribution(std::uint64_t count, double skew);
 
   /// @param fraction uniformly distributed in [0, 1).
--- a/source/lab/shedlever_lab_main.cc
+++ b/source/lab/shedlever_lab_main.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Program `shedlever-lab`: the toolbox. Each subcommand stands in a library of its own.
+/// Program `shedlever-lab`: tools for load tests, simulation and checking.
 
 #include <array>
 #include <cstdlib>
@@ -21,12 +21,12 @@
 };
 
 constexpr std::array<Subcommand, 3> kSubcommands = {
-    {{"check", "check the logs that stand-in servers wrote in one run", shedlever::check::runCheckCommand},
-     {"load", "drive real routers with open-loop requests", shedlever::load::runLoadCommand},
-     {"sim", "play scenarios of ownership on virtual time", shedlever::sim::runSimCommand}}};
+    {{"check", "check the logs of the stand-in servers of one run", shedlever::check::runCheckCommand},
+     {"load", "send open-loop requests to routers", shedlever::load::runLoadCommand},
+     {"sim", "simulate ownership scenarios in virtual time", shedlever::sim::runSimCommand}}};
 
 void printUsage(std::ostream& out) {
-  out << "usage: shedlever-lab SUBCOMMAND [FLAGS]; SUBCOMMAND --help tells more\n";
+  out << "usage: shedlever-lab SUBCOMMAND [FLAGS]; run SUBCOMMAND --help for details\n";
   for (const Subcommand& subcommand : kSubcommands) {
     out << "  " << subcommand.name << "  " << subcommand.summary << "\n";
   }
--- a/source/lab/sim/assigned_keys.cc
+++ b/source/lab/sim/assigned_keys.cc
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-AssignedKeys::AssignedKeys(const Clock& clock, std::function<bool(const KeyRange&, TimePoint)> works)
-    : clock_(clock), has_running_work_(std::move(works)), max_tokens_(kKeyCount, 0) {}
+AssignedKeys::AssignedKeys(const Clock& clock, std::function<bool(const KeyRange&, TimePoint)> has_running_work)
+    : clock_(clock), has_running_work_(std::move(has_running_work)), max_tokens_(kKeyCount, 0) {}
 
 void AssignedKeys::removeExpired() {
   const TimePoint now = clock_.now();
@@ -47,25 +47,25 @@
                      [&](FenceToken seen) { return seen > range.token; });
 }
 
-/// Keys of the row that are not in `kept` are let go of once the work on them has ended.
+/// Starts to release the keys of the range that are not in `kept`. The release completes when no requests for them run.
 void AssignedKeys::startRelease(const HeldRange& row, std::vector<AssignedRange> kept) {
   std::uint32_t next = row.keys.first;
-  const auto leave = [&](std::uint32_t end) {
+  const auto release = [&](std::uint32_t end) {
     if (next < end) {
-      HeldRange leaving = row;
-      leaving.keys = {static_cast<Key>(next), static_cast<Key>(end - 1)};
-      leaving.release_started = clock_.now();
-      releasing_.push_back(leaving);
+      HeldRange releasing = row;
+      releasing.keys = {static_cast<Key>(next), static_cast<Key>(end - 1)};
+      releasing.release_started = clock_.now();
+      releasing_.push_back(releasing);
     }
   };
   std::sort(kept.begin(), kept.end(), [](const auto& left, const auto& right) { return left.first < right.first; });
   for (const AssignedRange& range : kept) {
     if (range.last >= next && range.first <= row.keys.last) {
-      leave(range.first);
+      release(range.first);
       next = std::max<std::uint32_t>(next, static_cast<std::uint32_t>(range.last) + 1);
     }
   }
-  leave(static_cast<std::uint32_t>(row.keys.last) + 1);
+  release(static_cast<std::uint32_t>(row.keys.last) + 1);
 }
 
 std::vector<AssignedRange> AssignedKeys::onAcknowledged(const std::optional<KeyAssignment>& assignment,
@@ -115,10 +115,10 @@
 
 bool AssignedKeys::occupies(Key key) const {
   const TimePoint now = clock_.now();
-  const auto works = [&](const HeldRange& row) {
+  const auto has_running_work = [&](const HeldRange& row) {
     return row.keys.contains(key) && row.expires > now && has_running_work_(row.keys, row.release_started);
   };
-  return tokenOf(key) != 0 || std::any_of(releasing_.begin(), releasing_.end(), works);
+  return tokenOf(key) != 0 || std::any_of(releasing_.begin(), releasing_.end(), has_running_work);
 }
 
 }  // namespace shedlever::sim
--- a/source/lab/sim/assigned_keys.h
+++ b/source/lab/sim/assigned_keys.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Keys of a server that takes them in the acknowledgements of its heartbeats, as the platform's protocol says: for the
-/// simulator and for the stand-in of such a server.
+/// Keys of a server that receives key assignments in heartbeat acknowledgements, as the platform's protocol specifies.
+/// Used by the simulator and by the stand-in server.
 
 #include <functional>
 #include <optional>
@@ -13,29 +13,31 @@
 
 namespace shedlever::sim {
 
-/// Counts its time 2% slow.
+/// Holds keys 2% longer than assigned, as a server with a slow clock does.
 class AssignedKeys {
  public:
-  /// @param works whether work on the keys, which the server let go of at that time, still runs.
-  AssignedKeys(const Clock& clock, std::function<bool(const KeyRange&, TimePoint release_started)> works);
+  /// @param has_running_work whether requests for keys that the server started to release at the given time still run.
+  AssignedKeys(const Clock& clock, std::function<bool(const KeyRange&, TimePoint release_started)> has_running_work);
 
-  /// @return the keys' part of a heartbeat that is sent now.
+  /// @return the key report for a heartbeat that is sent now.
   KeyReport report();
 
-  /// An acknowledgement, in time.
-  /// @param reported what that heartbeat said was released. @param sent when the heartbeat was.
-  /// @return the ranges that are newly taken.
+  /// Applies an acknowledgement that arrived within the time limit.
+  /// @param reported released ranges that the heartbeat reported.
+  /// @param sent when the heartbeat was sent.
+  /// @return the newly acquired ranges.
   std::vector<AssignedRange> onAcknowledged(const std::optional<KeyAssignment>& assignment,
                                             const std::vector<ReleasedRange>& reported, TimePoint sent);
 
-  /// @return whether work goes on that keeps the server from letting go of keys: it sends its next heartbeat soon.
+  /// @return whether the release of some keys still waits for running requests. The server then sends its next
+  /// heartbeat early.
   bool isReleasing() const { return !releasing_.empty(); }
 
-  /// Holds nothing until it is told anew.
+  /// Drops all keys until the next assignment.
   void dropAllKeys();
-  /// @return the token under which it holds the key; 0 when it does not.
+  /// @return the token with which the server holds the key; 0 if it does not hold the key.
   FenceToken tokenOf(Key key) const;
-  /// @return whether it holds the key, or still works on requests for it within its lease.
+  /// @return whether the server holds the key or, before the end of the hold, still processes requests for it.
   bool occupies(Key key) const;
 
  private:
@@ -43,7 +45,7 @@
     KeyRange keys;
     FenceToken token = 0;
     TimePoint expires{};
-    /// When the server was told to let go.
+    /// When the server started to release the keys.
     TimePoint release_started{};
   };
 
--- a/source/lab/sim/ownership_checks.h
+++ b/source/lab/sim/ownership_checks.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What must hold of the servers that share the keys of one service: no key has two owners, and tokens rise.
+/// Invariants of the servers that share the keys of one service: no key has two owners, and fencing tokens increase.
 
 #include <string>
 #include <vector>
@@ -10,7 +10,7 @@
 
 namespace shedlever::sim {
 
-/// Looks at a sample of the keys: all of them would be 512 times as many at each step.
+/// Checks a sample of the keys, because checking every key after each event would be too slow.
 class OwnershipChecks {
  public:
   using Servers = std::vector<const SimulatedServer*>;
@@ -18,14 +18,15 @@
   static constexpr std::size_t kSampleCount = 128;
   static Key sampleKey(std::size_t index);
 
-  /// The server has taken keys, at once and not late.
-  /// @param running all servers that run.
+  /// Checks the token of keys that the server has just acquired.
+  /// @param running all running servers.
   void onAcquired(const SimulatedServer& server, Key first, Key last, FenceToken token, const Servers& running);
 
-  /// Something has happened. @param running all servers that run.
+  /// Checks that no sampled key has two owners.
+  /// @param running all running servers.
   void check(const Servers& running, TimePoint now);
 
-  /// Everything that was broken, in words; empty if nothing was.
+  /// @return one message for each violation found so far.
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
--- a/source/lab/sim/ownership_world.cc
+++ b/source/lab/sim/ownership_world.cc
@@ -123,9 +123,9 @@
                    });
 }
 
-bool SimulatedCluster::happens(double chance) {
+bool SimulatedCluster::happens(double probability) {
   constexpr std::uint64_t kSteps = 10000;
-  return chance > 0 && static_cast<double>(random_.below(kSteps)) < chance * kSteps;
+  return probability > 0 && static_cast<double>(random_.below(kSteps)) < probability * kSteps;
 }
 
 void SimulatedCluster::tickNode(std::size_t index, std::uint64_t process_generation) {
@@ -135,7 +135,7 @@
   }
   if (!node.paused) {
     node.virtual_store->faults = node.store_faults;
-    // As long a service time as makes the requests seen ask for that many slots.
+    // The service time is chosen so that the measured request rate results in this demand.
     const double rate = node.manager->requestRate();
     const double demand = rate > 0 ? node.occupancy * kSlots : 0.0;
     node.manager->setOfferedLoad({demand, kSlots, rate > 0 ? demand / rate : kServiceSeconds});
@@ -148,7 +148,7 @@
   time_.after(kTickInterval, [this, index, process_generation] { tickNode(index, process_generation); });
 }
 
-/// Every live node learns every record at once; that of a dead or paused one can't be reached.
+/// Every running process learns every record at once and treats stopped and paused nodes as unreachable.
 void SimulatedCluster::propagateRecords() {
   for (const auto& to : nodes_) {
     if (!to->manager) {
@@ -212,7 +212,7 @@
   const bool all_dead =
       std::none_of(nodes_.begin(), nodes_.end(), [](const auto& other) { return other->manager != nullptr; });
   if (all_dead) {
-    // Nobody is left who could tell a process that starts.
+    // No peer is left that could send the table to a process that starts.
     for (const auto& other : nodes_) {
       other->peer_table = {};
     }
@@ -260,17 +260,17 @@
 void SimulatedCluster::killServer(std::size_t node) { nodes_[node]->server.reset(); }
 
 void SimulatedCluster::startServer(std::size_t node) {
-  Node& place = *nodes_[node];
-  place.server = std::make_shared<SimulatedServer>(time_, InstanceId("i-" + std::to_string(++last_instance_)));
-  place.record.instance = place.server->instance;
-  place.record.draining = false;
-  if (place.manager) {
-    place.manager->serverUp(place.server->instance, time_.now());
+  Node& started_node = *nodes_[node];
+  started_node.server = std::make_shared<SimulatedServer>(time_, InstanceId("i-" + std::to_string(++last_instance_)));
+  started_node.record.instance = started_node.server->instance;
+  started_node.record.draining = false;
+  if (started_node.manager) {
+    started_node.manager->serverUp(started_node.server->instance, time_.now());
     propagateRecords();
   }
-  place.last_sequence = 0;
+  started_node.last_sequence = 0;
   if (config_.grant_delivery == GrantDelivery::Heartbeat) {
-    sendHeartbeat(place);
+    sendHeartbeat(started_node);
   }
 }
 
@@ -288,8 +288,8 @@
   } else {
     evacuated_.erase(zoneOf(node));
   }
-  for (const auto& told : nodes_) {
-    applyEvacuations(*told);
+  for (const auto& target : nodes_) {
+    applyEvacuations(*target);
   }
 }
 
@@ -335,8 +335,8 @@
   reportLoad(node);
 }
 
-void SimulatedCluster::setFailureRatio(std::size_t node, double share) {
-  nodes_[node]->failure_ratio = share;
+void SimulatedCluster::setFailureRatio(std::size_t node, double failure_ratio) {
+  nodes_[node]->failure_ratio = failure_ratio;
   reportLoad(node);
 }
 
--- a/source/lab/sim/ownership_world.h
+++ b/source/lab/sim/ownership_world.h
@@ -1,8 +1,9 @@
 #pragma once
 
 /// @file
-/// Several nodes that share the keys of one service, on virtual time: real ownership keepers over a store, servers and
-/// links that fail as told. Checks after each step that no key has two owners and that fencing tokens rise.
+/// Simulates in virtual time a cluster of nodes that share the keys of one service. Runs the production ownership
+/// managers against a store, servers and network with injected faults. Checks after each event that no key has two
+/// owners, and that fencing tokens increase.
 
 #include <cstdint>
 #include <functional>
@@ -22,19 +23,19 @@
 
 namespace shedlever::sim {
 
-/// How orders to one server go, or its heartbeats.
+/// Faults of the commands to a server and of its heartbeats.
 struct ServerFaults {
-  /// Nothing answers, nothing is done; heartbeats don't arrive.
+  /// Commands and heartbeats are lost.
   bool silent = false;
-  /// Chance that an order gets no answer and is carried out 2 to 12 s later; that a heartbeat comes so late.
+  /// Probability that a command gets no response and is applied 2 to 12 s later, or that a heartbeat arrives so late.
   double late_probability = 0;
-  /// Chance that a heartbeat's acknowledgement is lost.
+  /// Probability that a heartbeat's acknowledgement is lost.
   double lost_acknowledgement_probability = 0;
-  /// Chance that a heartbeat comes twice.
+  /// Probability that a heartbeat arrives twice.
   double duplicate_probability = 0;
 };
 
-/// See the file's comment.
+/// Nodes are identified by their indexes. Each node has a process, a server and a zone of its own.
 class SimulatedCluster {
  public:
   SimulatedCluster(std::size_t nodes, std::uint64_t seed, const OwnershipConfig& config = {});
@@ -42,61 +43,60 @@
 
   void run(Duration span);
 
-  /// The process is gone; the server goes on.
+  /// Stops the process; the server continues.
   void killNode(std::size_t node);
   void restartNode(std::size_t node);
-  /// As `restartNode`; others tell the process what is left of the lease of the one before it.
+  /// As `restartNode`; the process learns from peers how long the lease of its predecessor lasts.
   void restartNodeWithLease(std::size_t node);
-  /// As `restartNodeWithLease`; the table that others tell is this one.
+  /// As `restartNodeWithLease`; the process receives this owner table from peers.
   void restartNodeWithPeerTable(std::size_t node, const MetadataObject& table);
-  /// As `restartNode`; of nodes that are dead the process knows the record alone, and never hears that they can't be
-  /// reached.
+  /// As `restartNode`; the process knows the records of stopped nodes but does not learn that they are unreachable.
   void restartNodeWithRecordsOnly(std::size_t node);
-  /// @return the owner table as the store has it.
+  /// @return the owner table in the store.
   MetadataObject table() const;
-  /// The process stands still; its server goes on.
+  /// Pauses the process; its server continues.
   void pauseNode(std::size_t node);
   void resumeNode(std::size_t node);
-  /// The server ends; what listens at its address refuses.
+  /// Crashes the server; commands to its address fail with ServerGone.
   void killServer(std::size_t node);
-  /// A new life of the server begins beside the node.
+  /// Starts a new server instance at the node.
   void startServer(std::size_t node);
   void drainServer(std::size_t node);
-  /// The zone of the node, which is its alone, is to get nothing; every process hears of it at once, also one that
-  /// starts later. @param evacuated false: the wish is withdrawn.
+  /// Evacuates the node's zone, or ends its evacuation. All processes learn of the change at once, and new processes
+  /// when they start.
   void setEvacuated(std::size_t node, bool evacuated);
-  /// The store keeps a copy of all that it holds.
+  /// Makes a backup of the store, which replaces the previous one.
   void copyStore() { store_.keepCopy(); }
-  /// The store goes back to the copy. Processes learn of it by what it answers.
+  /// Restores the store from the backup. Processes detect the new epoch in its responses.
   void restoreStore() { store_.restoreCopy(); }
   void silenceServer(std::size_t node, bool silent);
   void setStoreFaults(std::size_t node, const StoreFaults& faults);
   void setServerFaults(std::size_t node, const ServerFaults& faults);
-  /// Lays the keys of two owners out in so many ranges that take turns, as many moves would.
+  /// Assigns the lower half of the keys to two owners in alternating ranges, as after many moves.
   void interleaveRanges(std::size_t first, std::size_t second, std::size_t ranges);
-  /// Occupancy that the node's server shows from now on.
+  /// Sets the occupancy that the node's server reports.
   void setOccupancy(std::size_t node, double occupancy);
-  /// Share of failed requests that the node's server shows from now on.
-  void setFailureRatio(std::size_t node, double share);
+  /// Sets the failure ratio that the node's server reports.
+  void setFailureRatio(std::size_t node, double failure_ratio);
   void addKeyRequests(std::size_t node, Key key, int requests);
-  /// As `addKeyRequests`, for each of the keys looked at.
+  /// As `addKeyRequests`, for each sampled key.
   void addRequestsOnSampledKeys(std::size_t node, int requests);
 
-  /// @return how many keys, of those looked at, some node would begin requests for.
+  /// @return the number of sampled keys that are served, summed over all nodes.
   std::size_t servedKeys() const;
   std::size_t sampledKeys() const { return kSampleCount; }
-  /// @return what the node tells who asks it for the key in vain.
+  /// @return the owner hint that the node returns for a key that it does not own.
   OwnerHint hint(std::size_t node, Key key) const;
-  /// @return who would begin requests for each of the keys looked at; none where nobody would.
+  /// @return the node that serves each sampled key; empty for a key that no node serves.
   std::vector<std::optional<std::size_t>> servingNodes() const;
-  /// @return changes of the store's objects so far.
+  /// @return the number of changes to objects in the store; it goes back when the store is restored.
   std::uint64_t storeChanges() const { return store_.revision().count; }
-  /// @return how often owner tables were written, refused writes not counted.
+  /// @return the number of successful writes of owner tables.
   std::uint64_t tableWrites() const { return store_.writes(kTableKind); }
-  /// @return how many keys, of those looked at, the node would begin requests for.
+  /// @return the number of sampled keys that the node serves.
   std::size_t servedBy(std::size_t node) const;
 
-  /// Everything that was broken, in words; empty if nothing was.
+  /// @return one message for each violation found so far.
   const std::vector<std::string>& violations() const { return checks_.violations(); }
 
  private:
@@ -108,22 +108,22 @@
   void startProcess(Node& node);
   void applyEvacuations(Node& node);
   void readTable(Node& node);
-  /// The server beside the node sends a heartbeat, and plans the next one.
+  /// Sends a heartbeat of the node's server and schedules the next one.
   void sendHeartbeat(Node& node);
-  /// Plans a heartbeat, unless another one is sent before.
-  void scheduleHeartbeat(Node& node, Duration pause);
+  /// Schedules a heartbeat, which is skipped if another one is sent first.
+  void scheduleHeartbeat(Node& node, Duration delay);
   void deliverHeartbeat(Node& node, const KeyReport& report, std::uint64_t sequence, TimePoint sent);
   void tickNode(std::size_t index, std::uint64_t process_generation);
-  /// Every live node hears what the node's server shows.
+  /// Reports the load and failure ratio of the node's server to all running processes.
   void reportLoad(std::size_t node);
   void propagateRecords();
   void propagateTable();
-  /// Other live nodes hear of the node's lease, as from its replies.
+  /// Reports the node's lease to the other running processes, as its replies do.
   void reportLease(const Node& from);
-  /// @return all servers that run.
+  /// @return all running servers.
   OwnershipChecks::Servers running() const;
   void checkAcquisition(const SimulatedServer& server, Key first, Key last, FenceToken token);
-  bool happens(double chance);
+  bool happens(double probability);
 
   VirtualTime time_;
   SeededRandom random_;
--- a/source/lab/sim/ownership_world_heartbeats.cc
+++ b/source/lab/sim/ownership_world_heartbeats.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Heartbeats of a simulated world's servers, and what their acknowledgements tell.
+/// Heartbeats of the servers in a simulated cluster and their acknowledgements.
 
 #include <algorithm>
 
@@ -12,10 +12,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/// Between heartbeats, and while keys are let go of.
+/// The urgent interval applies while keys are being released.
 constexpr Duration kHeartbeatInterval = milliseconds(870);
 constexpr Duration kUrgentHeartbeatInterval = milliseconds(100);
-/// An acknowledgement that comes later after its heartbeat was sent counts for nothing.
+/// An acknowledgement that arrives this long after its heartbeat was sent is ignored.
 constexpr Duration kAcknowledgementLimit = seconds(1);
 
 }  // namespace
@@ -42,8 +42,8 @@
   scheduleHeartbeat(node, server->assigned.isReleasing() ? kUrgentHeartbeatInterval : kHeartbeatInterval);
 }
 
-void SimulatedCluster::scheduleHeartbeat(Node& node, Duration pause) {
-  time_.after(pause, [this, &node, server = node.server, sequence = node.last_sequence] {
+void SimulatedCluster::scheduleHeartbeat(Node& node, Duration delay) {
+  time_.after(delay, [this, &node, server = node.server, sequence = node.last_sequence] {
     if (node.server == server && node.last_sequence == sequence) {
       sendHeartbeat(node);
     }
--- a/source/lab/sim/ownership_world_node.h
+++ b/source/lab/sim/ownership_world_node.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One node of a simulated world: its process, its server, and the ways between them. Of the world's own files alone.
+/// One node of a simulated cluster: its process, its server and the commands between them. Internal to the cluster.
 
 #include <memory>
 #include <utility>
@@ -12,9 +12,9 @@
 
 namespace shedlever::sim {
 
-/// From a process to the server beside it, one way.
+/// One-way delay between a process and its local server.
 inline constexpr Duration kLoopbackDelay = std::chrono::milliseconds(1);
-/// An order without an answer for so long is taken as lost.
+/// A command without a response within this time is treated as lost.
 inline constexpr Duration kCommandTimeout = std::chrono::milliseconds(300);
 
 struct SimulatedCluster::Node {
@@ -25,85 +25,87 @@
   std::unique_ptr<ServerDirectory> directory;
   std::unique_ptr<OwnershipManager> manager;
   std::unique_ptr<HeartbeatResponder> responder;
-  /// Of the present process: the newest heartbeat of each life of the server, and whether the store has told the table.
+  /// Latest heartbeat that the current process received from each server instance.
   std::map<InstanceId, std::uint64_t> latest_sequences;
+  /// Whether the current process has read the owner table from the store.
   bool table_read = false;
-  /// Table that others tell a process that starts.
+  /// Owner table that peers send to a process when it starts.
   MetadataObject peer_table;
-  /// Of the present life of the server: its heartbeats so far.
+  /// Sequence number of the latest heartbeat of the current server instance.
   std::uint64_t last_sequence = 0;
-  /// Null while no server runs.
+  /// Null if no server is running.
   std::shared_ptr<SimulatedServer> server;
   ServerFaults server_faults;
   StoreFaults store_faults;
   NodeRecord record;
   double occupancy = 0;
   double failure_ratio = 0;
-  /// Of the process that was killed last.
+  /// End of the lease of the process that was killed last.
   TimePoint lease_until{};
-  /// Numbers the lives of the process; ticks of an earlier one do nothing.
+  /// Incremented when a process starts or is killed; events scheduled in an earlier generation are ignored.
   std::uint64_t process_generation = 0;
   bool paused = false;
   bool knows_records_only = false;
 };
 
-/// The way from a node to its server.
-/// What is under way refers to the world and the node, never to this object: a restarted process has a new one.
+/// Sends commands from a node to its server.
+/// Scheduled events refer to the cluster and the node and not to this object, which is replaced when the process
+/// restarts.
 class SimulatedCluster::ServerCommandChannel final : public ServerCommands {
  public:
-  ServerCommandChannel(SimulatedCluster& world, Node& node) : world_(world), node_(node) {}
+  ServerCommandChannel(SimulatedCluster& cluster, Node& node) : cluster_(cluster), node_(node) {}
 
-  void grant(const GrantCommand& order, std::function<void(CommandStatus)> done) override {
-    const auto apply = [&world = world_, order](SimulatedServer& server, bool late) {
-      if (!server.grant(order, late)) {
+  void grant(const GrantCommand& command, std::function<void(CommandStatus)> done) override {
+    const auto apply = [&cluster = cluster_, command](SimulatedServer& server, bool late) {
+      if (!server.grant(command, late)) {
         return CommandStatus::Superseded;
       }
       if (!late) {
-        world.checkAcquisition(server, order.first, order.last, order.token);
+        cluster.checkAcquisition(server, command.first, command.last, command.token);
       }
       return CommandStatus::Done;
     };
     send<CommandStatus>(apply, CommandStatus::NoAnswer, CommandStatus::ServerGone, std::move(done));
   }
 
-  void release(const ReleaseCommand& order, std::function<void(ReleaseResult)> done) override {
-    const auto apply = [order](SimulatedServer& server, bool) {
-      return ReleaseResult{CommandStatus::Done, server.release(order)};
+  void release(const ReleaseCommand& command, std::function<void(ReleaseResult)> done) override {
+    const auto apply = [command](SimulatedServer& server, bool) {
+      return ReleaseResult{CommandStatus::Done, server.release(command)};
     };
     send<ReleaseResult>(apply, {CommandStatus::NoAnswer, {}}, {CommandStatus::ServerGone, {}}, std::move(done));
   }
 
  private:
   template <class Answer>
-  void send(const std::function<Answer(SimulatedServer&, bool)>& apply, const Answer& no_answer, const Answer& gone,
-            std::function<void(Answer)> done) {
-    VirtualTime& time = world_.time_;
+  void send(const std::function<Answer(SimulatedServer&, bool)>& apply, const Answer& no_answer,
+            const Answer& server_gone, std::function<void(Answer)> done) {
+    VirtualTime& time = cluster_.time_;
     const std::shared_ptr<SimulatedServer> server = node_.server;
     const auto alive = node_.virtual_store->alive;
-    const auto tell = [alive, done](const Answer& answer) {
+    const auto reply = [alive, done](const Answer& answer) {
       if (*alive) {
         done(answer);
       }
     };
     if (!server) {
-      time.after(kLoopbackDelay, [tell, gone] { tell(gone); });
+      time.after(kLoopbackDelay, [reply, server_gone] { reply(server_gone); });
       return;
     }
-    const bool late = world_.happens(node_.server_faults.late_probability);
+    const bool late = cluster_.happens(node_.server_faults.late_probability);
     if (node_.server_faults.silent || late) {
       if (late) {
-        time.after(std::chrono::milliseconds(2000 + world_.random_.below(10000)),
+        time.after(std::chrono::milliseconds(2000 + cluster_.random_.below(10000)),
                    [apply, server] { apply(*server, true); });
       }
-      time.after(kCommandTimeout, [tell, no_answer] { tell(no_answer); });
+      time.after(kCommandTimeout, [reply, no_answer] { reply(no_answer); });
       return;
     }
-    time.after(kLoopbackDelay, [&node = node_, apply, server, tell, gone] {
-      tell(node.server == server ? apply(*server, false) : gone);
+    time.after(kLoopbackDelay, [&node = node_, apply, server, reply, server_gone] {
+      reply(node.server == server ? apply(*server, false) : server_gone);
     });
   }
 
-  SimulatedCluster& world_;
+  SimulatedCluster& cluster_;
   Node& node_;
 };
 
--- a/source/lab/sim/scenario.cc
+++ b/source/lab/sim/scenario.cc
@@ -17,7 +17,7 @@
 constexpr std::size_t kMaxNodes = 200;
 
 struct FaultName {
-  const char* word;
+  const char* name;
   FaultKind kind;
 };
 
@@ -34,7 +34,7 @@
     {"busy", FaultKind::Busy},
 }};
 
-/// Reads a scenario and collects what is wrong.
+/// Reads a scenario and collects all errors.
 class ScenarioReader {
  public:
   explicit ScenarioReader(Findings& findings) : findings_(findings) {}
@@ -52,50 +52,50 @@
     const json ownership = document.value("ownership", json::object());
     for (const auto& [name, value] : ownership.items()) {
       const std::string text = value.is_string() ? value.get<std::string>() : value.dump();
-      const std::string wrong = applyVariant(std::string(name).append("=").append(text), scenario.ownership);
-      if (!wrong.empty()) {
-        findings_.add(std::string("ownership/").append(name), wrong);
+      const std::string problem = applyVariant(std::string(name).append("=").append(text), scenario.ownership);
+      if (!problem.empty()) {
+        findings_.add(std::string("ownership/").append(name), problem);
       }
     }
     const json faults = document.value("faults", json::array());
     for (const json& fault : faults) {
-      const std::string place = "faults/" + std::to_string(scenario.faults.size());
-      scenario.faults.push_back(readFault(fault, place, scenario.nodes));
+      const std::string location = "faults/" + std::to_string(scenario.faults.size());
+      scenario.faults.push_back(readFault(fault, location, scenario.nodes));
     }
     return scenario;
   }
 
  private:
-  Duration duration(const json& object, const char* field, const std::string& place, Duration fallback) {
+  Duration duration(const json& object, const char* field, const std::string& location, Duration fallback) {
     const auto found = object.find(field);
     if (found == object.end()) {
       return fallback;
     }
     const auto parsed = found->is_string() ? parseDuration(found->get<std::string>()) : std::nullopt;
     if (!parsed) {
-      findings_.add(place, "must be a time such as 1500ms or 2.5s");
+      findings_.add(location, "must be a duration such as 1500ms or 2.5s");
     }
     return parsed.value_or(fallback);
   }
 
-  Fault readFault(const json& object, const std::string& place, std::size_t nodes) {
+  Fault readFault(const json& object, const std::string& location, std::size_t nodes) {
     Fault fault;
     if (!object.is_object()) {
-      findings_.add(place, "must be an object");
+      findings_.add(location, "must be an object");
       return fault;
     }
-    fault.kind = kindOf(object.value("kind", std::string()), place);
-    fault.at = duration(object, "at", place + "/at", fault.at);
-    fault.duration = duration(object, "for", place + "/for", fault.duration);
-    const json struck = object.value("nodes", json::array());
-    for (const json& node : struck) {
+    fault.kind = kindOf(object.value("kind", std::string()), location);
+    fault.at = duration(object, "at", location + "/at", fault.at);
+    fault.duration = duration(object, "for", location + "/for", fault.duration);
+    const json affected = object.value("nodes", json::array());
+    for (const json& node : affected) {
       if (!node.is_number_unsigned() || node.get<std::size_t>() >= nodes) {
-        findings_.add(place + "/nodes", "must name nodes from 0 to " + std::to_string(nodes - 1));
+        findings_.add(location + "/nodes", "must name nodes from 0 to " + std::to_string(nodes - 1));
       } else {
         fault.nodes.push_back(node.get<std::size_t>());
       }
     }
-    if (struck.empty()) {
+    if (affected.empty()) {
       for (std::size_t node = 0; node < nodes; ++node) {
         fault.nodes.push_back(node);
       }
@@ -103,15 +103,15 @@
     return fault;
   }
 
-  FaultKind kindOf(const std::string& word, const std::string& place) {
+  FaultKind kindOf(const std::string& name, const std::string& location) {
     std::string known;
     for (const FaultName& row : kFaultNames) {
-      if (word == row.word) {
+      if (name == row.name) {
         return row.kind;
       }
-      known += (known.empty() ? "" : ", ") + std::string(row.word);
+      known += (known.empty() ? "" : ", ") + std::string(row.name);
     }
-    findings_.add(place + "/kind", "must be one of " + known);
+    findings_.add(location + "/kind", "must be one of " + known);
     return FaultKind::KillNode;
   }
 
@@ -147,19 +147,19 @@
     if (name == field.name) {
       const auto parsed = parseDuration(value);
       config.*field.member = parsed.value_or(config.*field.member);
-      return parsed ? "" : "must be a time such as 1500ms or 2.5s";
+      return parsed ? "" : "must be a duration such as 1500ms or 2.5s";
     }
   }
   for (const OwnershipShareField& field : ownershipShareFields()) {
     if (name == field.name) {
       char* end = nullptr;
       const double number = std::strtod(value.c_str(), &end);
-      const bool right = !value.empty() && *end == '\0' && number >= 0 && number <= 1;
-      config.*field.member = right ? number : config.*field.member;
-      return right ? "" : "must be a number from 0 to 1";
+      const bool is_valid = !value.empty() && *end == '\0' && number >= 0 && number <= 1;
+      config.*field.member = is_valid ? number : config.*field.member;
+      return is_valid ? "" : "must be a number from 0 to 1";
     }
   }
-  return "is not known";
+  return "is not an ownership setting";
 }
 
 }  // namespace shedlever::sim
--- a/source/lab/sim/scenario.h
+++ b/source/lab/sim/scenario.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What a simulation of ownership is to play: nodes, times, faults. Read from JSON, see docs/SCENARIOS.md.
+/// Scenario of an ownership simulation: nodes, duration and faults. Parsed from JSON; see docs/SCENARIOS.md.
 
 #include <cstdint>
 #include <string>
@@ -13,43 +13,43 @@
 namespace shedlever::sim {
 
 enum class FaultKind : std::uint8_t {
-  KillNode,       ///< the process ends and is started again after the fault's length
-  PauseNode,      ///< the process stands still
-  KillServer,     ///< the server ends; a new life begins after the fault's length
-  DrainServer,    ///< the server leaves; a new life begins after the fault's length
-  SilenceServer,  ///< the server carries no order out
-  LateCommands,   ///< half of the orders to the server are carried out seconds later
-  StoreDown,      ///< the store can't be reached
-  StoreLossy,     ///< a third of the writes lose their answer, a fifth come seconds late
-  StoreRestored,  ///< after the fault's length the store goes back to what it held at its beginning; nodes don't matter
-  Busy,           ///< the server's slots are all in use
+  KillNode,       ///< the process stops and restarts after the duration
+  PauseNode,      ///< the process is paused
+  KillServer,     ///< the server crashes; a new instance starts after the duration
+  DrainServer,    ///< the server drains; a new instance starts after the duration
+  SilenceServer,  ///< commands to the server and its heartbeats are lost
+  LateCommands,   ///< half of the commands to the server, or of its heartbeats, are seconds late
+  StoreDown,      ///< the store is unreachable
+  StoreLossy,     ///< writes lose their response or are applied seconds late
+  StoreRestored,  ///< after the duration the store is restored to its state at `at`; ignores `nodes`
+  Busy,           ///< all slots of the server are in use
 };
 
 struct Fault {
   FaultKind kind = FaultKind::KillNode;
   Duration at{};
   Duration duration{};
-  /// Nodes that it strikes.
+  /// Affected nodes.
   std::vector<std::size_t> nodes;
 };
 
 struct Scenario {
   std::string name;
   std::size_t nodes = 4;
-  /// Time played after all keys are served for the first time.
+  /// Simulated time after the warm-up.
   Duration duration = std::chrono::seconds(40);
   OwnershipConfig ownership;
   std::vector<Fault> faults;
 };
 
-/// @return the scenario, or Findings with everything that is wrong.
+/// @return the scenario, or Findings with all errors.
 leaf::result<Scenario> parseScenario(const std::string& text);
 
 /// As `parseScenario`, from a file.
 leaf::result<Scenario> readScenario(const std::string& path);
 
-/// Sets one value: "lease=5s", "busy_occupancy=0.8".
-/// @return what is wrong; empty when it was set.
+/// Sets one value, for example "lease=5s" or "busy_occupancy=0.8".
+/// @return an error message; empty if the value was set.
 std::string applyVariant(const std::string& variant, OwnershipConfig& config);
 
 }  // namespace shedlever::sim
--- a/source/lab/sim/sim_command.cc
+++ b/source/lab/sim/sim_command.cc
@@ -26,14 +26,14 @@
 };
 
 options::options_description describe(SimOptions& result) {
-  options::options_description text("shedlever-lab sim FILE...: scenarios of ownership on virtual time");
+  options::options_description text("shedlever-lab sim FILE...: simulate ownership scenarios in virtual time");
   auto add = text.add_options();
-  add("help", "this text");
+  add("help", "print this help");
   add("seed", options::value(&result.first_seed)->default_value(result.first_seed), "first seed");
-  add("seeds", options::value(&result.seeds)->default_value(result.seeds), "plays of each scenario");
+  add("seeds", options::value(&result.seeds)->default_value(result.seeds), "number of seeds for each scenario");
   add("variant", options::value(&result.variants)->composing(),
-      "NAME=VALUE[,NAME=VALUE...] of the ownership settings, played beside the scenario's own; repeatable");
-  add("json", "print JSON in place of a table");
+      "NAME=VALUE[,NAME=VALUE...] ownership settings to simulate in addition to the scenario's own; repeatable");
+  add("json", "print JSON instead of a table");
   return text;
 }
 
@@ -45,53 +45,53 @@
   options::positional_options_description positional;
   positional.add("file", -1);
   try {
-    options::variables_map given;
-    options::store(options::command_line_parser(arguments).options(all).positional(positional).run(), given);
-    options::notify(given);
-    result.help = given.contains("help");
-    result.json = given.contains("json");
+    options::variables_map parsed;
+    options::store(options::command_line_parser(arguments).options(all).positional(positional).run(), parsed);
+    options::notify(parsed);
+    result.help = parsed.contains("help");
+    result.json = parsed.contains("json");
   } catch (const options::error& error) {
     findings.add("command line", error.what());
     return leaf::new_error(std::move(findings));
   }
   if (result.files.empty() && !result.help) {
-    findings.add("command line", "names no scenario file");
+    findings.add("command line", "must name at least one scenario file");
     return leaf::new_error(std::move(findings));
   }
   return result;
 }
 
-/// A scenario under one set of values.
+/// A scenario with one variant of its settings.
 struct SimulationCase {
   Scenario scenario;
   std::string variant;
 };
 
-void addCases(const std::string& file, const SimOptions& given, std::vector<SimulationCase>& plays,
+void addCases(const std::string& file, const SimOptions& parsed, std::vector<SimulationCase>& cases,
               Findings& findings) {
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
         BOOST_LEAF_AUTO(scenario, readScenario(file));
-        plays.push_back({scenario, "-"});
-        for (const std::string& variant : given.variants) {
-          SimulationCase play{scenario, variant};
+        cases.push_back({scenario, "-"});
+        for (const std::string& variant : parsed.variants) {
+          SimulationCase simulation_case{scenario, variant};
           std::istringstream parts(variant);
           for (std::string part; std::getline(parts, part, ',');) {
-            const std::string wrong = applyVariant(part, play.scenario.ownership);
-            if (!wrong.empty()) {
-              findings.add("--variant " + part, wrong);
+            const std::string problem = applyVariant(part, simulation_case.scenario.ownership);
+            if (!problem.empty()) {
+              findings.add("--variant " + part, problem);
             }
           }
-          plays.push_back(std::move(play));
+          cases.push_back(std::move(simulation_case));
         }
         return {};
       },
-      [&](const Findings& wrong) {
-        for (const Finding& finding : wrong.list) {
+      [&](const Findings& problem) {
+        for (const Finding& finding : problem.list) {
           findings.add(file + ": " + finding.location, finding.message);
         }
       },
-      [&] { findings.add(file, "can't be read"); });
+      [&] { findings.add(file, "cannot be read"); });
 }
 
 std::string seconds(Duration duration) {
@@ -108,38 +108,38 @@
   return text;
 }
 
-/// Plays all seeds and adds one row.
-/// @return how many promises were broken.
-std::size_t addRow(const SimulationCase& play, const SimOptions& given, TextTable& table) {
+/// Simulates all seeds and adds one row to the table.
+/// @return the number of violations.
+std::size_t addRow(const SimulationCase& simulation_case, const SimOptions& parsed, TextTable& table) {
   Duration mean{};
   Duration longest{};
   double churn = 0;
   std::uint64_t changes = 0;
-  std::size_t broken = 0;
-  for (std::uint64_t i = 0; i < given.seeds; ++i) {
-    const SimulationResult measures = simulate(play.scenario, given.first_seed + i);
-    mean += measures.unavailable_mean;
-    longest = std::max(longest, measures.unavailable_longest);
-    churn += measures.churn;
-    changes += measures.store_changes;
-    broken += measures.violations.size();
-    if (!measures.violations.empty()) {
-      std::cerr << play.scenario.name << " seed " << given.first_seed + i << ": " << measures.violations.front()
-                << "\n";
+  std::size_t violations = 0;
+  for (std::uint64_t i = 0; i < parsed.seeds; ++i) {
+    const SimulationResult result = simulate(simulation_case.scenario, parsed.first_seed + i);
+    mean += result.unavailable_mean;
+    longest = std::max(longest, result.unavailable_longest);
+    churn += result.churn;
+    changes += result.store_changes;
+    violations += result.violations.size();
+    if (!result.violations.empty()) {
+      std::cerr << simulation_case.scenario.name << " seed " << parsed.first_seed + i << ": "
+                << result.violations.front() << "\n";
     }
   }
-  const auto count = static_cast<Duration::rep>(given.seeds);
-  table.add({play.scenario.name, play.variant, std::to_string(given.seeds), seconds(mean / count), seconds(longest),
-             decimal(churn / static_cast<double>(count)), std::to_string(changes / given.seeds),
-             std::to_string(broken)});
-  return broken;
+  const auto count = static_cast<Duration::rep>(parsed.seeds);
+  table.add({simulation_case.scenario.name, simulation_case.variant, std::to_string(parsed.seeds),
+             seconds(mean / count), seconds(longest), decimal(churn / static_cast<double>(count)),
+             std::to_string(changes / parsed.seeds), std::to_string(violations)});
+  return violations;
 }
 
-int run(const SimOptions& given) {
+int run(const SimOptions& parsed) {
   Findings findings;
-  std::vector<SimulationCase> plays;
-  for (const std::string& file : given.files) {
-    addCases(file, given, plays, findings);
+  std::vector<SimulationCase> cases;
+  for (const std::string& file : parsed.files) {
+    addCases(file, parsed, cases, findings);
   }
   if (!findings.empty()) {
     std::cerr << toString(findings);
@@ -147,13 +147,13 @@
   }
   TextTable table(
       {"scenario", "variant", "plays", "unavailable-mean-s", "longest-s", "churn", "store-changes", "broken"});
-  std::size_t broken = 0;
-  for (const SimulationCase& play : plays) {
-    broken += addRow(play, given, table);
+  std::size_t violations = 0;
+  for (const SimulationCase& simulation_case : cases) {
+    violations += addRow(simulation_case, parsed, table);
   }
   constexpr int kIndent = 2;
-  std::cout << (given.json ? table.json().dump(kIndent) + "\n" : table.text());
-  return broken == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
+  std::cout << (parsed.json ? table.json().dump(kIndent) + "\n" : table.text());
+  return violations == 0 ? EXIT_SUCCESS : EXIT_FAILURE;
 }
 
 }  // namespace
@@ -161,13 +161,13 @@
 int runSimCommand(const std::vector<std::string>& arguments) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<int> {
-        BOOST_LEAF_AUTO(given, parse(arguments));
-        if (given.help) {
+        BOOST_LEAF_AUTO(parsed, parse(arguments));
+        if (parsed.help) {
           SimOptions defaults;
           std::cout << describe(defaults);
           return EXIT_SUCCESS;
         }
-        return run(given);
+        return run(parsed);
       },
       [](const Findings& findings) {
         std::cerr << toString(findings);
--- a/source/lab/sim/sim_command.h
+++ b/source/lab/sim/sim_command.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// `shedlever-lab sim`: plays scenarios and variants of their settings, and prints a table to compare them.
+/// `shedlever-lab sim`: simulates scenarios with variants of their settings and prints a table that compares them.
 
 #include <string>
 #include <vector>
@@ -9,7 +9,7 @@
 namespace shedlever::sim {
 
 /// @param arguments without the subcommand's name.
-/// @return the process's exit status: failure for wrong usage, and when a promise was broken.
+/// @return the process's exit status: failure for wrong usage or when a guarantee was violated.
 int runSimCommand(const std::vector<std::string>& arguments);
 
 }  // namespace shedlever::sim
--- a/source/lab/sim/simulated_server.h
+++ b/source/lab/sim/simulated_server.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A server of the simulation: takes keys by orders, or in the acknowledgements of its heartbeats.
+/// Simulated server that receives keys by commands or in heartbeat acknowledgements.
 
 #include <string>
 #include <vector>
@@ -12,36 +12,37 @@
 
 namespace shedlever::sim {
 
-/// A server that holds keys as it is told. Its clock runs 2% slow.
+/// Holds keys 2% longer than granted, as a server with a slow clock does.
 class SimulatedServer {
  public:
   SimulatedServer(VirtualTime& time, InstanceId instance);
 
-  // ServerCommandChannel; a server that takes its keys by heartbeat gets none.
+  // Commands. A server that receives its keys by heartbeat gets none.
 
-  /// @param late the order is carried out long after it was sent: it counts for the tokens seen alone. Its process may
-  ///   have lost the key by then, and only that could send the server a request for it.
-  /// @return false if it has seen a higher token for one of the keys.
-  bool grant(const GrantCommand& order, bool late);
-  std::string release(const ReleaseCommand& order);
+  /// @param late the command is applied long after it was sent and only updates the highest tokens, because its process
+  ///   may no longer own the keys.
+  /// @return false if the server has received a higher token for one of the keys.
+  bool grant(const GrantCommand& command, bool late);
+  /// @return the handover data.
+  std::string release(const ReleaseCommand& command);
 
-  /// Holds nothing until it is granted anew.
+  /// Drops all keys until the next grant or assignment.
   void dropAllKeys();
-  /// @return whether it begins requests for the key, by a grant that was not taken late.
+  /// @return whether the server starts requests for the key.
   bool holds(Key key) const;
-  /// @return as `holds`, or whether it still works on requests for the key within its lease.
+  /// @return whether the server holds the key or, before the end of the hold, still processes requests for it.
   bool occupies(Key key) const { return holds(key) || assigned.occupies(key); }
 
   InstanceId instance;
-  /// What it was told in acknowledgements.
+  /// Keys assigned in heartbeat acknowledgements.
   AssignedKeys assigned;
-  /// Highest token with which it took each key by a grant that was not taken late.
+  /// Highest token with which the server acquired each key; late grants do not count.
   std::vector<FenceToken> acquired_tokens;
 
  private:
   VirtualTime& time_;
   std::vector<FenceToken> max_tokens_;
-  /// By grants that were not taken late.
+  /// End of the hold of each key by grants that were not late.
   std::vector<TimePoint> until_;
 };
 
--- a/source/lab/sim/simulation.cc
+++ b/source/lab/sim/simulation.cc
@@ -9,7 +9,7 @@
 
 namespace {
 
-/// Before faults begin, all keys are divided and granted.
+/// Long enough to assign and grant all keys before the first fault.
 constexpr Duration kWarmUp = std::chrono::seconds(6);
 constexpr Duration kStep = std::chrono::milliseconds(20);
 constexpr double kLostAnswerProbability = 0.33;
@@ -18,7 +18,7 @@
 constexpr double kFullOccupancy = 1.2;
 constexpr int kBusyRequests = 20;
 
-/// Something that happens to one node at one time of the play.
+/// An action that is applied to the cluster at a time after the warm-up.
 struct ScheduledAction {
   Duration at{};
   std::function<void(SimulatedCluster&)> act;
@@ -28,22 +28,23 @@
 
 void addPair(std::vector<ScheduledAction>& steps, const Fault& fault, std::size_t node, NodeAction begin,
              NodeAction end) {
-  steps.push_back({fault.at, [node, begin](SimulatedCluster& world) { (world.*begin)(node); }});
-  steps.push_back({fault.at + fault.duration, [node, end](SimulatedCluster& world) { (world.*end)(node); }});
+  steps.push_back({fault.at, [node, begin](SimulatedCluster& cluster) { (cluster.*begin)(node); }});
+  steps.push_back({fault.at + fault.duration, [node, end](SimulatedCluster& cluster) { (cluster.*end)(node); }});
 }
 
 template <class Faults>
 void addSetting(std::vector<ScheduledAction>& steps, const Fault& fault, std::size_t node,
                 void (SimulatedCluster::*set)(std::size_t, const Faults&), const Faults& faults) {
-  steps.push_back({fault.at, [node, set, faults](SimulatedCluster& world) { (world.*set)(node, faults); }});
-  steps.push_back({fault.at + fault.duration, [node, set](SimulatedCluster& world) { (world.*set)(node, Faults{}); }});
+  steps.push_back({fault.at, [node, set, faults](SimulatedCluster& cluster) { (cluster.*set)(node, faults); }});
+  steps.push_back(
+      {fault.at + fault.duration, [node, set](SimulatedCluster& cluster) { (cluster.*set)(node, Faults{}); }});
 }
 
-/// What happens to the store itself, whatever the nodes.
+/// Adds the actions of faults that affect the store rather than nodes.
 void addStoreFault(std::vector<ScheduledAction>& steps, const Fault& fault) {
   if (fault.kind == FaultKind::StoreRestored) {
-    steps.push_back({fault.at, [](SimulatedCluster& world) { world.copyStore(); }});
-    steps.push_back({fault.at + fault.duration, [](SimulatedCluster& world) { world.restoreStore(); }});
+    steps.push_back({fault.at, [](SimulatedCluster& cluster) { cluster.copyStore(); }});
+    steps.push_back({fault.at + fault.duration, [](SimulatedCluster& cluster) { cluster.restoreStore(); }});
   }
 }
 
@@ -77,11 +78,12 @@
     case FaultKind::StoreRestored:
       return;
     case FaultKind::Busy:
-      steps.push_back({fault.at, [node](SimulatedCluster& world) {
-                         world.setOccupancy(node, kFullOccupancy);
-                         world.addRequestsOnSampledKeys(node, kBusyRequests);
+      steps.push_back({fault.at, [node](SimulatedCluster& cluster) {
+                         cluster.setOccupancy(node, kFullOccupancy);
+                         cluster.addRequestsOnSampledKeys(node, kBusyRequests);
                        }});
-      steps.push_back({fault.at + fault.duration, [node](SimulatedCluster& world) { world.setOccupancy(node, 0); }});
+      steps.push_back(
+          {fault.at + fault.duration, [node](SimulatedCluster& cluster) { cluster.setOccupancy(node, 0); }});
       return;
   }
 }
@@ -99,7 +101,7 @@
   return steps;
 }
 
-/// Follows who serves each key from step to step.
+/// Measures from step to step which node serves each key.
 class AvailabilityMeter {
  public:
   explicit AvailabilityMeter(const std::vector<std::optional<std::size_t>>& first)
@@ -119,11 +121,11 @@
     }
   }
 
-  void tell(SimulationResult& measures) const {
+  void addTo(SimulationResult& result) const {
     const auto keys = static_cast<Duration::rep>(last_.size());
-    measures.unavailable_mean = unserved_ / keys;
-    measures.unavailable_longest = longest_;
-    measures.churn = static_cast<double>(moves_) / static_cast<double>(keys);
+    result.unavailable_mean = unserved_ / keys;
+    result.unavailable_longest = longest_;
+    result.churn = static_cast<double>(moves_) / static_cast<double>(keys);
   }
 
  private:
@@ -137,24 +139,24 @@
 }  // namespace
 
 SimulationResult simulate(const Scenario& scenario, std::uint64_t seed) {
-  SimulatedCluster world(scenario.nodes, seed, scenario.ownership);
-  world.run(kWarmUp);
+  SimulatedCluster cluster(scenario.nodes, seed, scenario.ownership);
+  cluster.run(kWarmUp);
   const std::vector<ScheduledAction> steps = stepsOf(scenario);
-  AvailabilityMeter meter(world.servingNodes());
+  AvailabilityMeter meter(cluster.servingNodes());
   auto next = steps.begin();
   for (Duration passed{}; passed < scenario.duration; passed += kStep) {
     while (next != steps.end() && next->at <= passed) {
-      next->act(world);
+      next->act(cluster);
       ++next;
     }
-    world.run(kStep);
-    meter.add(world.servingNodes());
+    cluster.run(kStep);
+    meter.add(cluster.servingNodes());
   }
-  SimulationResult measures;
-  meter.tell(measures);
-  measures.store_changes = world.storeChanges();
-  measures.violations = world.violations();
-  return measures;
+  SimulationResult result;
+  meter.addTo(result);
+  result.store_changes = cluster.storeChanges();
+  result.violations = cluster.violations();
+  return result;
 }
 
 }  // namespace shedlever::sim
--- a/source/lab/sim/simulation.h
+++ b/source/lab/sim/simulation.h
@@ -1,27 +1,27 @@
 #pragma once
 
 /// @file
-/// Plays a scenario on virtual time and measures what users see of it: keys that nobody serves, and keys that move.
+/// Simulates a scenario in virtual time and measures the unavailability and the movement of keys.
 
 #include "source/lab/sim/scenario.h"
 
 namespace shedlever::sim {
 
-/// What one play has shown. Shares are of the keys looked at.
+/// Measurements of one simulation, over the sampled keys.
 struct SimulationResult {
-  /// Mean time that a key was served by nobody.
+  /// Mean time per key during which no node served the key.
   Duration unavailable_mean{};
-  /// Longest time in a row that some key was served by nobody.
+  /// Longest uninterrupted time during which no node served a key.
   Duration unavailable_longest{};
-  /// How often a key changed its server, as a multiple of all keys.
+  /// Moves of keys to another node, divided by the number of keys.
   double churn = 0;
-  /// Changes of objects in the store.
+  /// Number of changes to objects in the store.
   std::uint64_t store_changes = 0;
-  /// Promises that were broken, in words.
+  /// One message for each violated guarantee.
   std::vector<std::string> violations;
 };
 
-/// The same scenario and seed give the same measures.
+/// Deterministic for the same scenario and seed.
 SimulationResult simulate(const Scenario& scenario, std::uint64_t seed);
 
 }  // namespace shedlever::sim
--- a/source/lab/sim/virtual_store.cc
+++ b/source/lab/sim/virtual_store.cc
@@ -13,8 +13,6 @@
 
 }  // namespace
 
-// Time.
-
 void VirtualTime::after(Duration delay, std::function<void()> event) {
   events_.push({now_ + delay, ++last_number_, std::move(event)});
 }
@@ -31,8 +29,6 @@
   now_ = end;
 }
 
-// The store.
-
 StoreAnswer StoreState::answer(StoreStatus status, const MetadataObject& object) const {
   StoreAnswer answer{status, object, epoch_};
   answer.object.revision.epoch = epoch_;
@@ -110,9 +106,9 @@
   return listing;
 }
 
-bool VirtualMetadataStore::happens(double chance) {
+bool VirtualMetadataStore::happens(double probability) {
   constexpr std::uint64_t kSteps = 10000;
-  return static_cast<double>(random_.below(kSteps)) < chance * static_cast<double>(kSteps);
+  return static_cast<double>(random_.below(kSteps)) < probability * static_cast<double>(kSteps);
 }
 
 void VirtualMetadataStore::get(const std::string& kind, const std::string& name, AnswerCallback done) {
@@ -124,7 +120,7 @@
   });
 }
 
-/// @param apply runs after this client may be gone, as a call under way does: it must not touch it.
+/// @param apply must not refer to this client, which may be destroyed before the call completes.
 void VirtualMetadataStore::write(std::function<StoreAnswer()> apply, const AnswerCallback& done) {
   const auto unanswered = [this, done, alive_now = alive] {
     time_.after(kCallTimeout, [done, alive_now] {
--- a/source/lab/sim/virtual_store.h
+++ b/source/lab/sim/virtual_store.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// A metadata store on virtual time that fails as told, and the time and random numbers that it runs on.
+/// Metadata store with injected faults in virtual time, together with the clock and the random source of the simulator.
 
 #include <cstdint>
 #include <functional>
@@ -18,7 +18,7 @@
 
 namespace shedlever::sim {
 
-/// Virtual time with events in its order.
+/// Clock that runs scheduled events in order of time.
 class VirtualTime final : public Clock {
  public:
   TimePoint now() const override { return now_; }
@@ -47,7 +47,7 @@
   std::mt19937_64 generator_;
 };
 
-/// The metadata store's contents, linearizable.
+/// Contents of the metadata store; operations are linearizable.
 class StoreState {
  public:
   StoreAnswer get(const std::string& kind, const std::string& name) const;
@@ -57,21 +57,22 @@
   StoreListing list(const std::string& kind) const;
   StoreRevision revision() const { return {epoch_, changes_}; }
 
-  /// @return how often objects of the kind were written, refused writes not counted.
+  /// @return how often objects of the kind were created or replaced.
   std::uint64_t writes(const std::string& kind) const {
     const auto found = writes_.find(kind);
     return found == writes_.end() ? 0 : found->second;
   }
 
-  /// Keeps a copy of all that it holds.
+  /// Makes a backup of all objects.
   void keepCopy();
-  /// Goes back to the copy: what was written since is gone, and its revisions are given out again.
+  /// Restores the backup in a new epoch. Later writes are lost, and their change numbers are assigned again.
   void restoreCopy();
 
  private:
   using Objects = std::map<std::pair<std::string, std::string>, MetadataObject>;
 
-  /// @return whether the condition of a write names another revision than the object's. As on the wire it has no epoch.
+  /// @return whether the condition of a write names a different revision than the object's. As on the wire, epochs are
+  /// not compared.
   static bool conflicts(const StoreRevision& condition, const MetadataObject& object);
   StoreAnswer answer(StoreStatus status, const MetadataObject& object = {}) const;
   StoreRevision nextRevision();
@@ -84,38 +85,39 @@
   Objects copied_objects_;
 };
 
-/// How calls from one node to the store go.
+/// Faults of the calls from one node to the store.
 struct StoreFaults {
   bool down = false;
-  /// Chance that a write is done and its answer lost.
+  /// Probability that a write is applied and its response lost.
   double lost_answer_probability = 0;
-  /// Chance that a write is done up to some seconds later, without an answer.
+  /// Probability that a write is applied 1 to 6 s later without a response.
   double late_write_probability = 0;
 };
 
-/// One node's way to the store.
+/// One node's client of the store.
 class VirtualMetadataStore final : public MetadataStore {
  public:
   VirtualMetadataStore(VirtualTime& time, StoreState& state, SeededRandom& random)
       : time_(time), state_(state), random_(random) {}
 
   StoreFaults faults;
-  /// False once its node is dead: nothing is told any more.
+  /// Set to false when the process stops; callbacks are dropped from then on.
   std::shared_ptr<bool> alive = std::make_shared<bool>(true);
 
   void get(const std::string& kind, const std::string& name, AnswerCallback done) override;
   void create(const std::string& kind, const MetadataObject& object, AnswerCallback done) override;
   void replace(const std::string& kind, const MetadataObject& object, AnswerCallback done) override;
   void remove(const std::string& kind, const std::string& name, StoreRevision revision, AnswerCallback done) override;
-  /// Always the latest state.
+  /// Returns the latest state for every freshness.
   void list(const std::string& kind, ListFreshness freshness, ListCallback done) override;
+  /// Reports WatchStatus::Unavailable after `wait`.
   void watch(const std::string& kind, StoreRevision after, Duration wait, WatchCallback done) override;
-  /// There is never any news.
+  /// Reports WatchStatus::Unavailable at once.
   void check(const std::string& kind, StoreRevision after, WatchCallback done) override;
 
  private:
   void write(std::function<StoreAnswer()> apply, const AnswerCallback& done);
-  bool happens(double chance);
+  bool happens(double probability);
 
   VirtualTime& time_;
   StoreState& state_;
--- a/test/lab/ownership_checks_test.cc
+++ b/test/lab/ownership_checks_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The simulator's checks see what they are there for.
+/// Tests that the simulator's invariant checks detect violations.
 
 #include "source/lab/sim/ownership_checks.h"
 
@@ -13,7 +13,7 @@
 
 class OwnershipChecksTest : public ::testing::Test {
  protected:
-  void take(SimulatedServer& server, FenceToken token) {
+  void acquire(SimulatedServer& server, FenceToken token) {
     ASSERT_TRUE(server.grant({0, kLast, token, kHold, {}}, false));
     checks_.onAcquired(server, 0, kLast, token, running());
   }
@@ -26,23 +26,23 @@
   OwnershipChecks checks_;
 };
 
-TEST_F(OwnershipChecksTest, OneOwnerIsSound) {
-  take(first_, 1);
+TEST_F(OwnershipChecksTest, OneOwnerHasNoViolation) {
+  acquire(first_, 1);
   checks_.check(running(), time_.now());
   EXPECT_TRUE(checks_.violations().empty());
 }
 
-TEST_F(OwnershipChecksTest, TwoOwnersAreSeenAtEachSampledKey) {
-  take(first_, 1);
-  take(second_, 2);
+TEST_F(OwnershipChecksTest, TwoOwnersViolateEachSampledKey) {
+  acquire(first_, 1);
+  acquire(second_, 2);
   ASSERT_TRUE(checks_.violations().empty());
   checks_.check(running(), time_.now());
   EXPECT_EQ(checks_.violations().size(), OwnershipChecks::kSampleCount);
 }
 
-TEST_F(OwnershipChecksTest, TokenThatDoesNotRiseIsSeen) {
-  take(first_, 2);
-  take(second_, 2);
+TEST_F(OwnershipChecksTest, EqualTokenOfSecondOwnerViolatesEachSampledKey) {
+  acquire(first_, 2);
+  acquire(second_, 2);
   EXPECT_EQ(checks_.violations().size(), OwnershipChecks::kSampleCount);
 }
 
--- a/test/lab/request_generator_test.cc
+++ b/test/lab/request_generator_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Which keys a load asks for.
+/// Tests the key distribution of generated requests.
 
 #include "source/lab/load/request_generator.h"
 
@@ -11,18 +11,18 @@
 namespace shedlever::load {
 namespace {
 
-TEST(RequestGenerator, AShiftMakesOtherKeysHot) {
+TEST(RequestGenerator, ShiftHotKeysChangesHottestKey) {
   LoadConfig config;
   config.gateways.resize(1);
   config.services.resize(1);
   config.tenants.resize(1);
-  constexpr double kSteep = 5;
-  config.skew = kSteep;
+  constexpr double kSteepSkew = 5;
+  config.skew = kSteepSkew;
   RequestGenerator generator(config);
   const auto hottest = [&generator] {
-    constexpr int kSample = 100;
+    constexpr int kRequestCount = 100;
     std::map<std::string, int> counts;
-    for (int i = 0; i < kSample; ++i) {
+    for (int i = 0; i < kRequestCount; ++i) {
       ++counts[generator.next().key];
     }
     const auto less = [](const auto& one, const auto& other) { return one.second < other.second; };
--- a/test/lab/run_checks_test.cc
+++ b/test/lab/run_checks_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The soak's checker finds what was planted, and nothing where nothing was.
+/// Tests that the history checker detects each kind of violation and accepts a correct history.
 
 #include "source/lab/check/run_checks.h"
 
@@ -22,17 +22,17 @@
     checks_.readLog(path_.string());
   }
 
-  void expectOne(const std::string& part) {
-    const auto broken = checks_.violations();
-    ASSERT_EQ(broken.size(), 1U);
-    EXPECT_NE(broken.front().find(part), std::string::npos) << broken.front();
+  void expectOneViolation(const std::string& part) {
+    const auto violations = checks_.violations();
+    ASSERT_EQ(violations.size(), 1U);
+    EXPECT_NE(violations.front().find(part), std::string::npos) << violations.front();
   }
 
   std::filesystem::path path_;
   HistoryChecker checks_;
 };
 
-TEST_F(HistoryCheckerTest, SoundRunHasNoFindings) {
+TEST_F(HistoryCheckerTest, CorrectHistoryHasNoViolations) {
   log("1000 i-1 take 0 99 5\n2000 i-1 begin r1 7 5\n9000 i-2 take 0 99 7\n10000 i-2 begin r2 7 7\n");
   checks_.addClientRecord({"r1", true, 200, "answer to r1"});
   checks_.addClientRecord({"r2", false, 200, "answer to r2"});
@@ -43,25 +43,25 @@
   EXPECT_EQ(checks_.counts().unanswered, 1U);
 }
 
-TEST_F(HistoryCheckerTest, FindsARequestThatRanTwice) {
+TEST_F(HistoryCheckerTest, RequestExecutedTwiceIsReported) {
   log("1 i-1 begin r1 -1 0\n2 i-2 begin r1 -1 0\n");
   checks_.addClientRecord({"r1", true, 502, ""});
-  expectOne("ran 2 times");
+  expectOneViolation("ran 2 times");
 }
 
-TEST_F(HistoryCheckerTest, FindsARefusalThatRan) {
+TEST_F(HistoryCheckerTest, RefusedRequestThatRanIsReported) {
   log("1 i-1 begin r1 -1 0\n");
   checks_.addClientRecord({"r1", true, 503, ""});
-  expectOne("refused as not run");
+  expectOneViolation("refused as not run");
 }
 
-TEST_F(HistoryCheckerTest, FindsAnAnswerToAnother) {
+TEST_F(HistoryCheckerTest, ResponseToAnotherRequestIsReported) {
   log("1 i-1 begin r1 -1 0\n");
   checks_.addClientRecord({"r1", false, 200, "answer to r2"});
-  expectOne("not its own");
+  expectOneViolation("not its own");
 }
 
-TEST_F(HistoryCheckerTest, FindsRequestsThatWereCut) {
+TEST_F(HistoryCheckerTest, InterruptedRequestsAreReported) {
   log("1 i-1 begin r1 -1 0\n2 i-1 begin r2 -1 0\n3 i-1 begin r3 -1 0\n4 i-1 begin r5 -1 0\n");
   checks_.addClientRecord({"r1", false, 502, ""});
   checks_.addClientRecord({"r2", false, 504, "", true});
@@ -74,14 +74,14 @@
   EXPECT_NE(cut[1].find("r5"), std::string::npos);
 }
 
-TEST_F(HistoryCheckerTest, FindsAnOwnerThatRunsAfterAnother) {
+TEST_F(HistoryCheckerTest, ExecutionByPreviousOwnerIsReported) {
   log("1000 i-1 begin r1 7 5\n5000 i-2 begin r2 7 7\n9000 i-1 begin r3 7 5\n");
-  expectOne("key 7");
+  expectOneViolation("key 7");
 }
 
-TEST_F(HistoryCheckerTest, FindsATokenThatIsNotAboveOthers) {
+TEST_F(HistoryCheckerTest, AcquisitionWithEqualTokenIsReported) {
   log("1000 i-1 take 0 99 5\n2000 i-2 take 50 60 5\n");
-  expectOne("not above");
+  expectOneViolation("not above");
 }
 
 }  // namespace
