--- a/standins/router/standin_keys_main.cc
+++ b/standins/router/standin_keys_main.cc
@@ -39,7 +39,7 @@
     return EXIT_FAILURE;
   }
   config.listen = *endpoint;
-  config.reports_to = *reports;
+  config.heartbeat_endpoint = *reports;
   config.request_duration = std::chrono::milliseconds(work_ms);
   config.on_fatal_begin = [] {};
   // Simulates a crash: requests get no response and connections break.
--- a/test/router/restarted_server_test.cc
+++ b/test/router/restarted_server_test.cc
@@ -85,7 +85,7 @@
 
 TEST_P(RestartedServerTest, ServesAgainAfterItsEarlierInstanceAnnouncedShutdown) {
   bool acknowledged = false;
-  node(2).server->leave([&acknowledged] { acknowledged = true; });
+  node(2).server->startDraining([&acknowledged] { acknowledged = true; });
   ASSERT_TRUE(cluster_.runUntil([&acknowledged] { return acknowledged; }));
   cluster_.restartServer(node(2));
   EXPECT_TRUE(servesAgain(2, "/orders/x"));
--- a/test/router/router_process_test.cc
+++ b/test/router/router_process_test.cc
@@ -44,14 +44,14 @@
   start();
   bool acknowledged = false;
   std::size_t begun = 0;
-  node(2).server->leave([&] {
+  node(2).server->startDraining([&] {
     acknowledged = true;
     begun = node(2).server->startedRequests();
   });
   std::vector<std::shared_ptr<ClientResponse>> answers;
   // One request at a time, before and after the notice.
   const auto keep_busy = [&] {
-    if (answers.empty() || answers.back()->ended) {
+    if (answers.empty() || answers.back()->completed) {
       answers.push_back(cluster_.send(node(answers.size() % 4), "/orders/x"));
     }
   };
@@ -74,7 +74,7 @@
 TEST_F(RouterProcessTest, KeysOfDrainingOwnerAreServedByAnotherServer) {
   start();
   bool acknowledged = false;
-  node(0).server->leave([&] { acknowledged = true; });
+  node(0).server->startDraining([&] { acknowledged = true; });
   ASSERT_TRUE(cluster_.runUntil([&] { return acknowledged; }));
   bool moved = false;
   for (int attempt = 0; attempt < 100 && !moved; ++attempt) {
@@ -137,7 +137,7 @@
 
 TEST_F(HeartbeatRouterProcessTest, KeysOfDrainingOwnerAreServedByAnotherServer) {
   bool acknowledged = false;
-  node(0).server->leave([&] { acknowledged = true; });
+  node(0).server->startDraining([&] { acknowledged = true; });
   ASSERT_TRUE(cluster_.runUntil([&] { return acknowledged; }));
   bool moved = false;
   for (int attempt = 0; attempt < 200 && !moved; ++attempt) {
