--- a/source/cli/cli.cc
+++ b/source/cli/cli.cc
@@ -12,18 +12,18 @@
 
 namespace {
 
-constexpr std::size_t kAnyNumber = 1000000;
+constexpr std::size_t kUnlimited = 1000000;
 
 /// One command of the program.
 struct CommandRow {
   std::string_view name;
-  /// Words that follow, for the help text.
-  std::string_view words;
-  std::size_t fewest_words;
-  std::size_t most_words;
+  /// The operands in the help text.
+  std::string_view operands;
+  std::size_t min_operands;
+  std::size_t max_operands;
   bool needs_platform;
   bool needs_operator;
-  /// Options that mean something to it, beside --json.
+  /// Accepted options besides --json.
   std::vector<std::string_view> options;
   std::string_view summary;
   ExitCode (*run)(CliContext&);
@@ -34,29 +34,29 @@
       {"config check",
        "FILES|FOLDER",
        1,
-       kAnyNumber,
+       kUnlimited,
        false,
        false,
        {"platform"},
-       "check settings documents; with --platform together with the stored ones",
+       "validate settings documents; with --platform together with the stored documents",
        runConfigCheck},
       {"config diff",
        "FILES|FOLDER",
        1,
-       kAnyNumber,
+       kUnlimited,
        true,
        false,
        {"platform"},
-       "how the files differ from the stored documents",
+       "show the differences between files and the stored documents",
        runConfigDiff},
       {"config apply",
        "FILES|FOLDER",
        1,
-       kAnyNumber,
+       kUnlimited,
        true,
        false,
        {"platform", "operator", "wait", "wait-ms", "base", "author", "change-id", "save"},
-       "write the documents, each as one change; with --wait until they are in force",
+       "write documents to the store, each as one change; with --wait until they are in force",
        runConfigApply},
       {"config get",
        "[DOCUMENT]",
@@ -65,7 +65,7 @@
        true,
        false,
        {"platform", "effective", "at"},
-       "list the documents or print one; with --effective all its values and their sources",
+       "list the documents or print one; with --effective all its values with their sources",
        runConfigGet},
       {"config history",
        "DOCUMENT",
@@ -74,11 +74,19 @@
        true,
        false,
        {"platform"},
-       "versions of a document, with who made them",
+       "list the versions of a document with their authors",
        runConfigHistory},
-      {"config reference", "", 0, 0, false, false, {}, "all settings, as in docs/SETTINGS.md", runConfigReference},
-      {"status", "", 0, 0, false, true, {"operator"}, "what the routers named tell of themselves", runStatus},
-      {"owners", "", 0, 0, false, true, {"operator"}, "ranges of keys that the routers named own", runOwners},
+      {"config reference",
+       "",
+       0,
+       0,
+       false,
+       false,
+       {},
+       "print the settings reference, as in docs/SETTINGS.md",
+       runConfigReference},
+      {"status", "", 0, 0, false, true, {"operator"}, "show the status of the routers", runStatus},
+      {"owners", "", 0, 0, false, true, {"operator"}, "show the key ranges that the routers own", runOwners},
       {"quarantine",
        "",
        0,
@@ -86,17 +94,17 @@
        false,
        true,
        {"operator"},
-       "requests that the routers named keep from servers, as servers ended under them",
+       "show the requests in quarantine, with the server instances that crashed while processing them",
        runQuarantine},
-      {"drain", "", 0, 0, false, true, {"operator"}, "empty the server beside the router named", runDrain},
+      {"drain", "", 0, 0, false, true, {"operator"}, "drain the server of one router", runDrain},
       {"explain",
        "ID FILES",
        2,
-       kAnyNumber,
+       kUnlimited,
        false,
        false,
        {},
-       "show a request's way through logs of routers, one file a node, each named after its node",
+       "trace a request through router logs; each log file is named after its node",
        runExplain},
   };
   return rows;
@@ -104,19 +112,19 @@
 
 std::string helpText() {
   std::string text =
-      "shedlever: operators' command line.\n\nUsage: shedlever COMMAND [OPTIONS]\n\n"
-      "Ends with 0 done, 1 failed, 2 wrong usage or findings, 3 conflict, 4 outcome unknown.\n\nCommands:\n";
+      "shedlever: command line for operators.\n\nUsage: shedlever COMMAND [OPTIONS]\n\n"
+      "Exit codes: 0 done, 1 failed, 2 wrong usage or findings, 3 conflict, 4 outcome unknown.\n\nCommands:\n";
   for (const CommandRow& command : commands()) {
-    text += "  " + std::string(command.name) + (command.words.empty() ? "" : " ") + std::string(command.words) +
+    text += "  " + std::string(command.name) + (command.operands.empty() ? "" : " ") + std::string(command.operands) +
             "\n      " + std::string(command.summary) + "\n";
   }
   return text + "\n" + describeCliOptions();
 }
 
-/// @return the command whose name the words begin with; null when there is none.
-const CommandRow* findCommand(const std::vector<std::string>& words) {
-  const std::string one = words.empty() ? "" : words[0];
-  const std::string two = words.size() < 2 ? one : words[0] + " " + words[1];
+/// @return the command whose name is the first one or two arguments; null when there is none.
+const CommandRow* findCommand(const std::vector<std::string>& positional) {
+  const std::string one = positional.empty() ? "" : positional[0];
+  const std::string two = positional.size() < 2 ? one : positional[0] + " " + positional[1];
   for (const CommandRow& command : commands()) {
     if (command.name == one || command.name == two) {
       return &command;
@@ -125,28 +133,28 @@
   return nullptr;
 }
 
-Findings unknownCommand(const std::vector<std::string>& words) {
+Findings unknownCommand(const std::vector<std::string>& positional) {
   std::vector<std::string_view> names;
   for (const CommandRow& command : commands()) {
     names.push_back(command.name);
   }
   Findings findings;
-  if (words.empty()) {
+  if (positional.empty()) {
     findings.add("command line", "names no command; see shedlever --help.");
     return findings;
   }
-  const bool two_words = words[0] == "config" && words.size() > 1;
-  const std::string given = two_words ? words[0] + " " + words[1] : words[0];
-  findings.add("command line", "\"" + given + "\" is not a command." + didYouMean(given, names));
+  const bool two_words = positional[0] == "config" && positional.size() > 1;
+  const std::string name = two_words ? positional[0] + " " + positional[1] : positional[0];
+  findings.add("command line", "\"" + name + "\" is not a command." + didYouMean(name, names));
   return findings;
 }
 
-Findings checkUsage(const CommandRow& command, const CliOptions& options, std::size_t words) {
+Findings checkUsage(const CommandRow& command, const CliOptions& options, std::size_t operand_count) {
   Findings findings;
   const std::string name(command.name);
-  if (words < command.fewest_words || words > command.most_words) {
-    const std::string right = command.words.empty() ? "nothing more" : std::string(command.words);
-    findings.add("command line", name + " takes " + right + ".");
+  if (operand_count < command.min_operands || operand_count > command.max_operands) {
+    const std::string expected = command.operands.empty() ? "no arguments" : std::string(command.operands);
+    findings.add("command line", name + " takes " + expected + ".");
   }
   if (command.needs_platform && !options.platform) {
     findings.add("--platform", "is required by " + name + ".");
@@ -155,8 +163,8 @@
     findings.add("--operator", "is required by " + name + ".");
   }
   for (const std::string& option : options.given_options) {
-    const bool known = std::find(command.options.begin(), command.options.end(), option) != command.options.end();
-    if (!known && option != "json") {
+    const bool accepted = std::find(command.options.begin(), command.options.end(), option) != command.options.end();
+    if (!accepted && option != "json") {
       findings.add("--" + option, "has no meaning for " + name + ".");
     }
   }
@@ -171,15 +179,15 @@
     return ExitCode::Findings;
   }
   const std::size_t name_words = command->name.find(' ') == std::string_view::npos ? 1 : 2;
-  const std::vector<std::string> words(arguments.positional.begin() + static_cast<std::ptrdiff_t>(name_words),
-                                       arguments.positional.end());
-  const Findings findings = checkUsage(*command, arguments.options, words.size());
+  const std::vector<std::string> operands(arguments.positional.begin() + static_cast<std::ptrdiff_t>(name_words),
+                                          arguments.positional.end());
+  const Findings findings = checkUsage(*command, arguments.options, operands.size());
   if (!findings.empty()) {
     err << toString(findings);
     return ExitCode::Findings;
   }
   const std::unique_ptr<CliPorts> ports = make_ports(arguments.options);
-  CliContext context{*ports, arguments.options, words, out, err};
+  CliContext context{*ports, arguments.options, operands, out, err};
   return command->run(context);
 }
 
--- a/source/cli/cli.h
+++ b/source/cli/cli.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The program `shedlever`: finds the command and runs it.
+/// The operators' command line program `shedlever`: selects and runs a command.
 
 #include <functional>
 #include <memory>
@@ -14,12 +14,12 @@
 
 namespace shedlever {
 
-/// Makes the ports for the endpoints that the options name.
+/// Creates the ports for the endpoints given in the options.
 using CliPortsFactory = std::function<std::unique_ptr<CliPorts>(const CliOptions&)>;
 
-/// @param arguments without the program's name.
-/// @param version of the program.
-/// @return how the program is to end.
+/// @param arguments the command line without the program name.
+/// @param version the version of the program.
+/// @return the exit code of the program.
 ExitCode runCli(const std::vector<std::string>& arguments, const std::string& version,
                 const CliPortsFactory& make_ports, std::ostream& out, std::ostream& err);
 
--- a/source/cli/cli_arguments.cc
+++ b/source/cli/cli_arguments.cc
@@ -21,14 +21,14 @@
   const auto text = [](const char* name) { return po::value<Texts>()->value_name(name); };
   auto add = options.add_options();
   add("platform", text("IP:PORT"), "the metadata store");
-  add("operator", text("IP:PORT"), "readiness endpoint of a router; may be given more than once");
-  add("json", "print JSON in place of tables");
-  add("wait", "apply: return when every router named has the versions in force");
-  add("wait-ms", text("MS"), "apply: give up waiting after about this long (30000)");
-  add("base", text("VERSION"), "apply: the version that the file was made from");
-  add("author", text("NAME"), "apply: who makes the change (the user's name)");
-  add("change-id", text("ID"), "apply: ask again for a change whose outcome was unknown");
-  add("save", "apply: write the accepted change into the file, so that the next one starts from it");
+  add("operator", text("IP:PORT"), "readiness endpoint of a router; may be repeated");
+  add("json", "print JSON instead of tables");
+  add("wait", "apply: wait until the versions are in force on every router given with --operator");
+  add("wait-ms", text("MS"), "apply: time limit for --wait (30000)");
+  add("base", text("VERSION"), "apply: the version that the file is based on");
+  add("author", text("NAME"), "apply: author of the change (the user's name)");
+  add("change-id", text("ID"), "apply: retry a change whose outcome was unknown");
+  add("save", "apply: save the accepted change in the file as the base of the next change");
   add("effective", "get: every value with its source");
   add("at", text("VERSION"), "get: an earlier version, from the history");
   add("help", "print this text");
@@ -44,7 +44,7 @@
   return names;
 }
 
-/// Turns the texts of options into values.
+/// Parses option values.
 class OptionReader {
  public:
   OptionReader(CliOptions& options, Findings& findings) : options_(options), findings_(findings) {}
@@ -53,7 +53,7 @@
     const bool repeated =
         std::find(options_.given_options.begin(), options_.given_options.end(), name) != options_.given_options.end();
     if (repeated && name != "operator") {
-      findings_.add("--" + name, "is given a second time.");
+      findings_.add("--" + name, "is given more than once.");
     }
     options_.given_options.push_back(name);
     if (value.compare(0, 2, "--") == 0) {
@@ -61,7 +61,7 @@
       return;
     }
     readFlag(name);
-    readPlace(name, value);
+    readEndpoint(name, value);
     readNumber(name, value);
     readText(name, value);
   }
@@ -76,13 +76,13 @@
     options_.effective = options_.effective || name == "effective";
   }
 
-  void readPlace(const std::string& name, const std::string& value) {
+  void readEndpoint(const std::string& name, const std::string& value) {
     if (name != "platform" && name != "operator") {
       return;
     }
     const std::optional<Endpoint> endpoint = parseEndpoint(value);
     if (!endpoint || endpoint->port == 0) {
-      findings_.add("--" + name, "must be IP:PORT, with an IP number and no host name, not \"" + value + "\".");
+      findings_.add("--" + name, "must be IP:PORT with an IP address and no host name, not \"" + value + "\".");
     } else if (name == "platform") {
       options_.platform = endpoint;
     } else {
@@ -94,11 +94,11 @@
     if (name != "base" && name != "at" && name != "wait-ms") {
       return;
     }
-    constexpr std::uint64_t kLongestWaitMs = 24ULL * 3600 * 1000;
+    constexpr std::uint64_t kMaxWaitMs = 24ULL * 3600 * 1000;
     std::uint64_t number = 0;
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
-    const bool whole = error == std::errc() && end == value.data() + value.size();
-    if (!whole || (name == "wait-ms" && number > kLongestWaitMs)) {
+    const bool valid = error == std::errc() && end == value.data() + value.size();
+    if (!valid || (name == "wait-ms" && number > kMaxWaitMs)) {
       findings_.add("--" + name, "must be a whole number, not \"" + value + "\".");
     } else if (name == "base") {
       options_.base_version = number;
--- a/source/cli/cli_arguments.h
+++ b/source/cli/cli_arguments.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The command line of `shedlever`, parsed.
+/// Parses the command line of `shedlever`.
 
 #include <optional>
 #include <string>
@@ -15,7 +15,7 @@
 
 namespace shedlever {
 
-/// Options of all commands.
+/// The options of all commands.
 struct CliOptions {
   bool help = false;
   bool version = false;
@@ -30,20 +30,20 @@
   std::optional<SettingsVersion> history_version;
   std::string author;
   std::string change_id;
-  /// Names of the options given, without dashes.
+  /// The names of the options on the command line, without dashes.
   std::vector<std::string> given_options;
 };
 
 struct CliArguments {
   CliOptions options;
-  /// All that is no option: the command and what it works on.
+  /// The command and its operands.
   std::vector<std::string> positional;
 };
 
-/// @return the command line, or Findings with every wrong value.
+/// @return the parsed command line, or Findings with every invalid option.
 leaf::result<CliArguments> parseCliArguments(const std::vector<std::string>& arguments);
 
-/// @return the options with their descriptions.
+/// @return the help text of the options.
 std::string describeCliOptions();
 
 }  // namespace shedlever
--- a/source/cli/cli_context.cc
+++ b/source/cli/cli_context.cc
@@ -8,7 +8,7 @@
 
 constexpr int kIndent = 2;
 constexpr int kListAttempts = 3;
-constexpr Duration kListWait = std::chrono::milliseconds(200);
+constexpr Duration kListRetryDelay = std::chrono::milliseconds(200);
 
 }  // namespace
 
@@ -34,7 +34,7 @@
   for (int attempt = 0; attempt < kListAttempts; ++attempt) {
     const auto result = awaitResult<ListResult>(ports, [&](auto done) { ports.store().list(kSettingsPrefix, done); });
     if (!result.available) {
-      pause(ports, kListWait);
+      pause(ports, kListRetryDelay);
       continue;
     }
     SettingsDocuments documents;
@@ -55,7 +55,7 @@
       },
       [](const Findings& findings) { return findings; },
       [] {
-        return Findings{{{"settings", "can't be resolved."}}};
+        return Findings{{{"settings", "could not be resolved."}}};
       });
 }
 
--- a/source/cli/cli_context.h
+++ b/source/cli/cli_context.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What every command is given, and small helpers that they share.
+/// The context of a command, and helpers that several commands share.
 
 #include <map>
 #include <optional>
@@ -20,7 +20,7 @@
 struct CliContext {
   CliPorts& ports;
   const CliOptions& options;
-  /// What the command works on: the words after its name.
+  /// The positional arguments after the name of the command.
   std::vector<std::string> operands;
   std::ostream& out;
   std::ostream& err;
@@ -31,16 +31,16 @@
 /// Prints findings. @return ExitCode::Findings.
 ExitCode failWith(CliContext& context, const Findings& findings);
 
-/// Prints one sentence of an error. @return ExitCode::Failed.
+/// Prints an error message. @return ExitCode::Failed.
 ExitCode failWith(CliContext& context, const std::string& message);
 
-/// Prints a table, or JSON with `--json`.
+/// Prints a table as text, or as JSON with `--json`.
 void print(CliContext& context, const TextTable& table);
 
-/// @return all documents in the store; nothing when it does not answer.
+/// @return all settings documents in the store; nothing when the store does not respond.
 std::optional<SettingsDocuments> fetchDocuments(CliPorts& ports);
 
-/// @return what is wrong with the documents; empty when they resolve.
+/// @return the errors in the documents; empty when they can be resolved to settings.
 Findings validateDocuments(const SettingsDocuments& documents);
 
 }  // namespace shedlever
--- a/source/cli/cli_ports.h
+++ b/source/cli/cli_ports.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What the commands use of the world: the platform's store, endpoints of routers, waiting.
+/// Interfaces of the commands to their environment: the platform's metadata store, the routers and time.
 
 #include <functional>
 #include <optional>
@@ -13,20 +13,20 @@
 
 namespace shedlever {
 
-/// How the program ends.
+/// Exit codes of the program.
 enum class ExitCode : int {
   Done = 0,
-  Failed = 1,    ///< it was not done
-  Findings = 2,  ///< wrong usage, or documents with findings; nothing was done
-  Conflict = 3,  ///< another operator's work would have been lost; nothing was written
-  Unknown = 4,   ///< it may or may not have been done
+  Failed = 1,    ///< the command failed
+  Findings = 2,  ///< wrong usage or invalid documents; nothing was changed
+  Conflict = 3,  ///< would have overwritten another operator's change; nothing was written
+  Unknown = 4,   ///< the change may or may not have been made
 };
 
-/// How a call to a router ended.
+/// The outcome of a call to a router.
 enum class OperatorCallStatus : std::uint8_t {
-  NotSent,       ///< proved: the router did not get it
-  ResponseLost,  ///< it may have got it
-  Answered,      ///< `http_status` and `body` are its answer
+  NotSent,       ///< certain: the router did not receive the call
+  ResponseLost,  ///< the router may have received the call
+  Answered,      ///< `http_status` and `body` are the response
 };
 
 struct OperatorResponse {
@@ -35,38 +35,39 @@
   std::string body;
 };
 
-/// Calls the readiness endpoint of one router.
+/// Calls the readiness endpoints of routers.
 class OperatorClient {
  public:
   virtual ~OperatorClient() = default;
 
-  /// @param done runs exactly once, later.
+  /// @param done runs exactly once, after the call has returned.
   virtual void call(const Endpoint& router, const std::string& method, const std::string& target,
                     std::function<void(const OperatorResponse&)> done) = 0;
 };
 
+/// The environment of the commands.
 class CliPorts {
  public:
   virtual ~CliPorts() = default;
 
-  /// The store named by `--platform`.
+  /// The store given with `--platform`.
   virtual ObjectStore& store() = 0;
   virtual OperatorClient& operators() = 0;
   virtual RetryTimer& timer() = 0;
 
-  /// Lets events happen until `done` says true. @return its last answer; false when a cap of time is over.
+  /// Handles events until `done` returns true or a time limit expires. @return the last result of `done`.
   virtual bool runUntil(const std::function<bool()>& done) = 0;
 
-  /// @return UTC, "2026-12-02T07:26:00Z".
+  /// @return the UTC time in the form "2026-12-02T07:26:00Z".
   virtual std::string currentTime() = 0;
   /// @return a new unique id for a change.
   virtual std::string newChangeId() = 0;
-  /// @return who runs the program, when `--author` does not say.
+  /// @return the default for `--author`: the user who runs the program.
   virtual std::string userName() = 0;
 };
 
-/// Starts an asynchronous call and waits for its result. @return a default result when none comes, which
-/// means "nothing is known" for every result type used here.
+/// Starts an asynchronous call and waits for its result. @return a default-constructed result after a timeout, which
+/// stands for an unknown outcome in every result type used here.
 template <class Result, class Start>
 Result awaitResult(CliPorts& ports, const Start& start) {
   const auto result = std::make_shared<std::optional<Result>>();
@@ -75,11 +76,11 @@
   return result->value_or(Result{});
 }
 
-/// Waits without doing anything.
+/// Waits for the duration.
 inline void pause(CliPorts& ports, Duration duration) {
-  const auto over = std::make_shared<bool>(false);
-  ports.timer().runAfter(duration, [over] { *over = true; });
-  ports.runUntil([over] { return *over; });
+  const auto elapsed = std::make_shared<bool>(false);
+  ports.timer().runAfter(duration, [elapsed] { *elapsed = true; });
+  ports.runUntil([elapsed] { return *elapsed; });
 }
 
 }  // namespace shedlever
--- a/source/cli/config_apply.cc
+++ b/source/cli/config_apply.cc
@@ -10,10 +10,10 @@
 
 namespace {
 
-/// Applies files one after the other; stops at the first that is not accepted.
-class Application {
+/// Applies files one after the other until a file is not accepted.
+class ApplyCommand {
  public:
-  explicit Application(CliContext& context) : context_(context) {}
+  explicit ApplyCommand(CliContext& context) : context_(context) {}
 
   ExitCode run() {
     Findings findings;
@@ -21,7 +21,7 @@
     checkOptions(findings);
     const std::optional<SettingsDocuments> stored = fetchDocuments(context_.ports);
     if (!stored) {
-      return failWith(context_, "the store does not answer; nothing was written");
+      return failWith(context_, "the store does not respond; nothing was written");
     }
     SettingsDocuments documents = *stored;
     for (const auto& [name, file] : files_) {
@@ -37,13 +37,13 @@
     if (written != ExitCode::Done) {
       return written;
     }
-    return afterwards();
+    return checkStored();
   }
 
  private:
   void checkOptions(Findings& findings) {
     if (context_.options.base_version && files_.size() > 1) {
-      findings.add("--base", "is the version of one document; give one file with it.");
+      findings.add("--base", "applies to one document; give only one file.");
     }
     if (context_.options.wait && context_.options.operators.empty()) {
       findings.add("--operator", "is required with --wait.");
@@ -55,21 +55,21 @@
         context_.options.change_id.empty() ? context_.ports.newChangeId() : context_.options.change_id;
     const std::string author = context_.options.author.empty() ? context_.ports.userName() : context_.options.author;
     const ChangeInfo change{change_id, author, context_.ports.currentTime(), 0};
-    ExitCode worst = ExitCode::Done;
+    ExitCode result = ExitCode::Done;
     for (const auto& [name, file] : files_) {
-      if (worst != ExitCode::Done) {
+      if (result != ExitCode::Done) {
         report_.addSkipped(name);
         continue;
       }
       const SettingsWriteOutcome outcome = write(name, file, change);
       report_.add(name, change_id, outcome);
-      worst = exitCodeOf(outcome.status);
-      if (worst == ExitCode::Done) {
+      result = exitCodeOf(outcome.status);
+      if (result == ExitCode::Done) {
         applied_[name] = outcome.version;
         save(file, change, outcome);
       }
     }
-    return worst;
+    return result;
   }
 
   SettingsWriteOutcome write(const DocumentName& name, const SettingsFile& file, const ChangeInfo& change) {
@@ -78,24 +78,24 @@
     return awaitResult<SettingsWriteOutcome>(context_.ports, [&](auto done) { write.start(done); });
   }
 
-  /// The file carries the change that it became, so that the next one starts from it.
+  /// With `--save`, stores the accepted change in the file, so that the next change is based on it.
   void save(const SettingsFile& file, ChangeInfo change, const SettingsWriteOutcome& outcome) {
     if (!context_.options.save || outcome.status != SettingsWriteStatus::Accepted) {
       return;
     }
     change.base_version = outcome.base_version;
     if (!replaceFile(file.path, withChange(file.document.text, change))) {
-      context_.err << "shedlever: " << file.path << " can't be written; the change was accepted all the same\n";
+      context_.err << "shedlever: " << file.path << " can't be written; the change was accepted\n";
     }
   }
 
-  /// Others may have written other documents meanwhile: the whole must still be right.
-  ExitCode afterwards() {
+  /// Validates all stored documents again, because other operators may have written documents in the meantime.
+  ExitCode checkStored() {
     const std::optional<SettingsDocuments> stored = fetchDocuments(context_.ports);
     const Findings findings = stored ? validateDocuments(*stored) : Findings{};
     if (!findings.empty()) {
-      context_.err << "shedlever: written, but together with changes of others the documents have findings; "
-                      "nodes keep the settings that they have\n"
+      context_.err << "shedlever: written, but the documents are invalid together with changes of other operators; "
+                      "nodes keep their current settings\n"
                    << toString(findings);
       return ExitCode::Failed;
     }
@@ -110,6 +110,6 @@
 
 }  // namespace
 
-ExitCode runConfigApply(CliContext& context) { return Application(context).run(); }
+ExitCode runConfigApply(CliContext& context) { return ApplyCommand(context).run(); }
 
 }  // namespace shedlever
--- a/source/cli/config_check.cc
+++ b/source/cli/config_check.cc
@@ -13,7 +13,7 @@
   if (context.options.platform) {
     std::optional<SettingsDocuments> stored = fetchDocuments(context.ports);
     if (!stored) {
-      return failWith(context, "the store does not answer");
+      return failWith(context, "the store does not respond");
     }
     documents = std::move(*stored);
   }
@@ -41,7 +41,7 @@
   }
   const std::optional<SettingsDocuments> stored = fetchDocuments(context.ports);
   if (!stored) {
-    return failWith(context, "the store does not answer");
+    return failWith(context, "the store does not respond");
   }
   TextTable table({"document", "place", "stored", "file"});
   for (const auto& [name, file] : files) {
--- a/source/cli/config_commands.h
+++ b/source/cli/config_commands.h
@@ -1,22 +1,22 @@
 #pragma once
 
 /// @file
-/// `shedlever config ...`.
+/// The commands `shedlever config ...`.
 
 #include "source/cli/cli_context.h"
 
 namespace shedlever {
 
-/// Checks files and folders, together with the stored documents when `--platform` is given.
+/// Validates files and folders, together with the stored documents when `--platform` is given.
 ExitCode runConfigCheck(CliContext& context);
 
-/// Shows how files differ from the stored documents.
+/// Prints the differences between files and the stored documents.
 ExitCode runConfigDiff(CliContext& context);
 
-/// Writes files into the store, each as one change.
+/// Writes files to the store, each as one change.
 ExitCode runConfigApply(CliContext& context);
 
-/// Lists the stored documents, or prints one, its effective values, or an earlier version.
+/// Lists the stored documents, or prints one document, its effective values or an earlier version.
 ExitCode runConfigGet(CliContext& context);
 
 /// Lists the versions of one document.
--- a/source/cli/config_get.cc
+++ b/source/cli/config_get.cc
@@ -8,14 +8,14 @@
 namespace {
 
 constexpr int kReadAttempts = 3;
-constexpr Duration kReadWait = std::chrono::milliseconds(200);
+constexpr Duration kReadRetryDelay = std::chrono::milliseconds(200);
 
-/// @return the object, or why it can't be read.
+/// @return the object, or the status that says why it can't be read.
 ReadResult readObject(CliContext& context, const std::string& name) {
   ReadResult result;
   for (int attempt = 0; attempt < kReadAttempts && result.status == ReadStatus::Unavailable; ++attempt) {
     if (attempt > 0) {
-      pause(context.ports, kReadWait);
+      pause(context.ports, kReadRetryDelay);
     }
     result = awaitResult<ReadResult>(context.ports, [&](auto done) { context.ports.store().get(name, done); });
   }
@@ -24,7 +24,7 @@
 
 ExitCode readFailure(CliContext& context, const ReadResult& result, const std::string& name) {
   return failWith(context,
-                  result.status == ReadStatus::Absent ? name + " does not exist" : "the store does not answer");
+                  result.status == ReadStatus::Absent ? name + " does not exist" : "the store does not respond");
 }
 
 void addRow(TextTable& table, const std::string& first, SettingsVersion version, const ChangeInfo& change) {
@@ -36,7 +36,7 @@
 ExitCode listDocuments(CliContext& context) {
   const std::optional<SettingsDocuments> stored = fetchDocuments(context.ports);
   if (!stored) {
-    return failWith(context, "the store does not answer");
+    return failWith(context, "the store does not respond");
   }
   TextTable table({"document", "version", "change", "author", "time", "replaced"});
   for (const auto& [name, document] : *stored) {
@@ -55,7 +55,7 @@
 ExitCode getEffective(CliContext& context, const std::string& name) {
   const std::optional<SettingsDocuments> stored = fetchDocuments(context.ports);
   if (!stored) {
-    return failWith(context, "the store does not answer");
+    return failWith(context, "the store does not respond");
   }
   return leaf::try_handle_all(
       [&]() -> leaf::result<ExitCode> {
@@ -68,7 +68,7 @@
         return ExitCode::Done;
       },
       [&](const Findings& findings) { return failWith(context, findings); },
-      [&] { return failWith(context, "the settings can't be resolved"); });
+      [&] { return failWith(context, "the settings could not be resolved"); });
 }
 
 ExitCode getVersion(CliContext& context, const std::string& name, SettingsVersion version) {
@@ -125,7 +125,7 @@
                                                      ? SettingsHistory::parse(earlier.object.value)
                                                      : std::optional(SettingsHistory());
   if (!history) {
-    return failWith(context, "the history of " + name + " can't be understood");
+    return failWith(context, "the history of " + name + " is not valid");
   }
   TextTable table({"", "version", "change", "author", "time", "replaced"});
   for (const HistoryVersion& version : history->versions()) {
--- a/source/cli/config_report.cc
+++ b/source/cli/config_report.cc
@@ -4,7 +4,7 @@
 
 namespace {
 
-std::string wordOf(SettingsWriteStatus status) {
+std::string outcomeName(SettingsWriteStatus status) {
   switch (status) {
     case SettingsWriteStatus::Accepted:
       return "accepted";
@@ -31,9 +31,9 @@
   return text;
 }
 
-std::string makerOf(const ChangeInfo& change) {
+std::string authorOf(const ChangeInfo& change) {
   if (change.id.empty()) {
-    return "by a writer that left no change id";
+    return "written without a change id";
   }
   return "by " + change.author + " at " + change.changed_at + ", change " + change.id;
 }
@@ -45,17 +45,17 @@
     return text;
   }
   text +=
-      "stored is version " + std::to_string(conflict.current_version) + ", " + makerOf(conflict.current_change) + "\n";
+      "stored is version " + std::to_string(conflict.current_version) + ", " + authorOf(conflict.current_change) + "\n";
   if (conflict.base_version == 0) {
-    return text + "from your file to the stored document:\n" + indented(toString(conflict.theirs));
+    return text + "differences from your file to the stored document:\n" + indented(toString(conflict.theirs));
   }
-  text += "changed since version " + std::to_string(conflict.base_version) + ", from which you started:\n";
+  text += "changed since version " + std::to_string(conflict.base_version) + ", on which your file is based:\n";
   text += indented(toString(conflict.theirs));
   text += "your changes:\n" + indented(toString(conflict.ours));
-  for (const std::string& place : overlappingPointers(conflict.theirs, conflict.ours)) {
-    text += "both changed " + place + "\n";
+  for (const std::string& pointer : overlappingPointers(conflict.theirs, conflict.ours)) {
+    text += "both changed " + pointer + "\n";
   }
-  return text + "make your change again on what `shedlever config get " + document.value + "` gives\n";
+  return text + "repeat your change on the output of `shedlever config get " + document.value + "`\n";
 }
 
 }  // namespace
@@ -79,14 +79,14 @@
 
 void ApplyReport::add(const DocumentName& document, const std::string& change_id, const SettingsWriteOutcome& outcome) {
   const std::string version = outcome.version == 0 ? "-" : std::to_string(outcome.version);
-  table_.add({document.value, wordOf(outcome.status), version, change_id});
+  table_.add({document.value, outcomeName(outcome.status), version, change_id});
   if (outcome.conflict) {
     explanation_ += explainConflict(document, outcome);
   } else if (outcome.status == SettingsWriteStatus::NotAccepted) {
     explanation_ += document.value + ": not written: " + outcome.message + "\n";
   } else if (outcome.status == SettingsWriteStatus::Unknown) {
-    explanation_ += document.value + ": may or may not be written: " + outcome.message +
-                    "\nask again with --change-id " + change_id + "\n";
+    explanation_ += document.value + ": may or may not be written: " + outcome.message + "\nretry with --change-id " +
+                    change_id + "\n";
   }
 }
 
--- a/source/cli/config_report.h
+++ b/source/cli/config_report.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// What `config apply` tells of each document.
+/// The report of `config apply` about each document.
 
 #include <string>
 
@@ -23,7 +23,7 @@
 
   const TextTable& table() const { return table_; }
 
-  /// @return what the operator should know and do next; empty when all went well.
+  /// @return conflicts and failures, with advice for the operator; empty when all documents were accepted.
   const std::string& explanation() const { return explanation_; }
 
  private:
--- a/source/cli/config_wait.cc
+++ b/source/cli/config_wait.cc
@@ -11,33 +11,33 @@
 
 constexpr Duration kPollInterval = std::chrono::milliseconds(200);
 
-/// @return whether the router has all these versions, or later ones, in force.
-bool isInForce(const NodeStatus& status, const std::map<DocumentName, SettingsVersion>& versions) {
+/// @return whether the router has all these versions, or later ones, active.
+bool isActive(const NodeStatus& status, const std::map<DocumentName, SettingsVersion>& versions) {
   return std::all_of(versions.begin(), versions.end(), [&status](const auto& entry) {
     const auto part = status.config_parts.find(settingsObjectName(entry.first));
     return part != status.config_parts.end() && part->second.count >= entry.second;
   });
 }
 
-std::vector<std::string> routersBehind(CliContext& context, const std::map<DocumentName, SettingsVersion>& versions) {
-  std::vector<std::string> behind;
+std::vector<std::string> outdatedRouters(CliContext& context, const std::map<DocumentName, SettingsVersion>& versions) {
+  std::vector<std::string> outdated;
   for (const Endpoint& router : context.options.operators) {
     const std::optional<NodeStatus> status = fetchStatus(context.ports, router);
-    if (!status || !isInForce(*status, versions)) {
-      behind.push_back(status ? status->node.name.value : toString(router) + " (no answer)");
+    if (!status || !isActive(*status, versions)) {
+      outdated.push_back(status ? status->node.name.value : toString(router) + " (no answer)");
     }
   }
-  return behind;
+  return outdated;
 }
 
 }  // namespace
 
 ExitCode waitUntilActive(CliContext& context, const std::map<DocumentName, SettingsVersion>& versions) {
   const auto polls = std::max<Duration::rep>(1, context.options.wait_timeout / kPollInterval);
-  std::vector<std::string> behind;
+  std::vector<std::string> outdated;
   for (Duration::rep i = 0; i < polls; ++i) {
-    behind = routersBehind(context, versions);
-    if (behind.empty()) {
+    outdated = outdatedRouters(context, versions);
+    if (outdated.empty()) {
       if (!context.options.json) {
         context.out << "in force on " << context.options.operators.size() << " routers\n";
       }
@@ -46,7 +46,7 @@
     pause(context.ports, kPollInterval);
   }
   std::string text = "written, but not in force on";
-  for (const std::string& router : behind) {
+  for (const std::string& router : outdated) {
     text += " " + router;
   }
   return failWith(context, text);
--- a/source/cli/config_wait.h
+++ b/source/cli/config_wait.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Waits until versions are in force on all routers named.
+/// Waits until document versions are active on the routers.
 
 #include <map>
 
@@ -9,8 +9,9 @@
 
 namespace shedlever {
 
-/// Asks each router until it has at least the version given of each document in force, or `--wait-ms` is over.
-/// @return Done, or Failed with a message that says what is missing.
+/// Polls the routers given with `--operator` until each has at least the given version of every document active, or the
+/// time limit of `--wait-ms` expires.
+/// @return Done, or Failed after printing which routers are not up to date.
 ExitCode waitUntilActive(CliContext& context, const std::map<DocumentName, SettingsVersion>& versions);
 
 }  // namespace shedlever
--- a/source/cli/explain_command.cc
+++ b/source/cli/explain_command.cc
@@ -51,8 +51,8 @@
   const std::string& id = context.operands.front();
   const std::vector<TraceStep> steps = traceRequest(lines, id);
   if (steps.empty()) {
-    context.err << "no line has the id " << id
-                << ": it was served and its line left out, or its node's log is missing\n";
+    context.err << "no log line has the id " << id
+                << ": the request was served without a log line, or the log of its node is missing\n";
     return ExitCode::Failed;
   }
   TextTable table({"at_ms", "node", "event", "what"});
--- a/source/cli/explain_command.h
+++ b/source/cli/explain_command.h
@@ -1,15 +1,15 @@
 #pragma once
 
 /// @file
-/// `shedlever explain`.
+/// The command `shedlever explain`.
 
 #include "source/cli/cli_context.h"
 
 namespace shedlever {
 
-/// Shows the way of one request through logs of routers: the first word is its id, the others are files, each named
+/// Traces one request through router logs. The first operand is the request id, the others are log files, each named
 /// after its node.
-/// @return Done, Failed when no line has the id, Findings when a file can't be read.
+/// @return Done, Failed when no log line has the id, Findings when a file can't be read.
 ExitCode runExplain(CliContext& context);
 
 }  // namespace shedlever
--- a/source/cli/metadata_object_store.cc
+++ b/source/cli/metadata_object_store.cc
@@ -12,19 +12,19 @@
 constexpr const char* kKindPrefix = "shedlever-";
 constexpr int kIndent = 2;
 
-/// Where an object lies in the metadata store.
-struct ObjectPlace {
+/// The location of an object in the metadata store.
+struct ObjectLocation {
   std::string kind;
   std::string name;
 };
 
-ObjectPlace placeOf(const std::string& name) {
+ObjectLocation locationOf(const std::string& name) {
   const std::size_t slash = name.find('/');
   return {kKindPrefix + name.substr(0, slash), settingsObjectName(DocumentName(name.substr(slash + 1)))};
 }
 
-/// The store keeps values, not their layout.
-std::string readable(const std::string& value) {
+/// Indents JSON, because the store does not preserve the layout.
+std::string indentJson(const std::string& value) {
   const nlohmann::ordered_json document = nlohmann::ordered_json::parse(value, nullptr, false);
   return document.is_discarded() ? value : document.dump(kIndent) + "\n";
 }
@@ -47,10 +47,10 @@
 }  // namespace
 
 void MetadataObjectStore::get(const std::string& name, std::function<void(const ReadResult&)> done) {
-  const ObjectPlace place = placeOf(name);
-  store_.get(place.kind, place.name, [name, done = std::move(done)](const StoreAnswer& answer) {
+  const ObjectLocation location = locationOf(name);
+  store_.get(location.kind, location.name, [name, done = std::move(done)](const StoreAnswer& answer) {
     if (answer.status == StoreStatus::Done) {
-      done({ReadStatus::Found, {name, answer.object.revision.count, readable(answer.object.value)}});
+      done({ReadStatus::Found, {name, answer.object.revision.count, indentJson(answer.object.value)}});
     } else {
       done({answer.status == StoreStatus::Absent ? ReadStatus::Absent : ReadStatus::Unavailable, {}});
     }
@@ -59,13 +59,13 @@
 
 void MetadataObjectStore::putIfVersion(const std::string& name, ObjectVersion expected, const std::string& value,
                                        std::function<void(const WriteResult&)> done) {
-  const ObjectPlace place = placeOf(name);
-  const MetadataObject object{place.name, expected, value};
-  const auto answered = [done = std::move(done)](const StoreAnswer& answer) { done(resultOf(answer)); };
+  const ObjectLocation location = locationOf(name);
+  const MetadataObject object{location.name, expected, value};
+  const auto on_answer = [done = std::move(done)](const StoreAnswer& answer) { done(resultOf(answer)); };
   if (expected == 0) {
-    store_.create(place.kind, object, answered);
+    store_.create(location.kind, object, on_answer);
   } else {
-    store_.replace(place.kind, object, answered);
+    store_.replace(location.kind, object, on_answer);
   }
 }
 
@@ -75,7 +75,7 @@
     ListResult result{listing.available, listing.revision.count, {}};
     for (const MetadataObject& object : listing.objects) {
       if (const auto document = documentNameFromObject(object.name)) {
-        result.objects.push_back({prefix + document->value, object.revision.count, readable(object.value)});
+        result.objects.push_back({prefix + document->value, object.revision.count, indentJson(object.value)});
       }
     }
     done(result);
--- a/source/cli/metadata_object_store.h
+++ b/source/cli/metadata_object_store.h
@@ -1,17 +1,17 @@
 #pragma once
 
 /// @file
-/// Settings documents and their history as objects of the metadata store.
+/// Stores settings documents and their history as objects in the metadata store.
 
 #include "shedlever/metadata_store.h"
 #include "shedlever/object_store.h"
 
 namespace shedlever {
 
-/// A name is a kind's word, a slash and the object's name: "settings/deployment", "history/services/a".
+/// An object name consists of a kind, a slash and the document name: "settings/deployment", "history/services/a".
 class MetadataObjectStore final : public ObjectStore {
  public:
-  /// @param store outlives this one.
+  /// @param store must outlive this object.
   explicit MetadataObjectStore(MetadataStore& store) : store_(store) {}
 
   void get(const std::string& name, std::function<void(const ReadResult&)> done) override;
--- a/source/cli/network_ports.cc
+++ b/source/cli/network_ports.cc
@@ -15,14 +15,14 @@
 
 namespace {
 
-/// An operator's command reads documents by their names; what another wrote beside them is not its matter.
+/// The commands read documents by name. Unreadable objects of other writers don't matter to them.
 void ignoreUnreadable(const std::string&) {}
 
-/// Longest wait for one thing to happen; every call below has a limit of its own that is shorter.
-constexpr Duration kWaitCap = std::chrono::minutes(5);
+/// Longer than the timeout of every single call.
+constexpr Duration kMaxWait = std::chrono::minutes(5);
 constexpr Duration kOperatorTimeout = std::chrono::seconds(10);
 
-OperatorResponse toAnswer(const HttpExchangeResult& exchange) {
+OperatorResponse toOperatorResponse(const HttpExchangeResult& exchange) {
   switch (exchange.status) {
     case HttpExchangeStatus::Complete:
       return {OperatorCallStatus::Answered, exchange.response.status, exchange.response.body};
@@ -50,7 +50,7 @@
       client = std::make_unique<HttpClient>(loop_, config);
     }
     client->send({method, target, {}, ""}, kOperatorTimeout,
-                 [done = std::move(done)](const HttpExchangeResult& exchange) { done(toAnswer(exchange)); });
+                 [done = std::move(done)](const HttpExchangeResult& exchange) { done(toOperatorResponse(exchange)); });
   }
 
  private:
@@ -89,7 +89,7 @@
   ObjectStore& store() override { return objects_; }
   OperatorClient& operators() override { return operators_; }
   RetryTimer& timer() override { return timer_; }
-  bool runUntil(const std::function<bool()>& done) override { return loop_.runUntil(done, kWaitCap); }
+  bool runUntil(const std::function<bool()>& done) override { return loop_.runUntil(done, kMaxWait); }
 
   std::string currentTime() override {
     const std::time_t now = std::time(nullptr);
--- a/source/cli/operator_commands.cc
+++ b/source/cli/operator_commands.cc
@@ -10,7 +10,8 @@
 
 constexpr int kHttpOk = 200;
 
-OperatorResponse ask(CliPorts& ports, const Endpoint& router, const std::string& method, const std::string& target) {
+OperatorResponse callRouter(CliPorts& ports, const Endpoint& router, const std::string& method,
+                            const std::string& target) {
   return awaitResult<OperatorResponse>(ports, [&](auto done) { ports.operators().call(router, method, target, done); });
 }
 
@@ -34,43 +35,43 @@
   return std::to_string(std::chrono::floor<std::chrono::milliseconds>(duration).count());
 }
 
-/// Asks all routers named. @return the statuses; those that did not answer are told on `err`.
-std::vector<NodeStatus> askAll(CliContext& context) {
-  std::vector<NodeStatus> found;
+/// Fetches the status of every router given with `--operator`. Prints an error for each router that does not respond.
+std::vector<NodeStatus> fetchAllStatuses(CliContext& context) {
+  std::vector<NodeStatus> statuses;
   for (const Endpoint& router : context.options.operators) {
     if (auto status = fetchStatus(context.ports, router)) {
-      found.push_back(std::move(*status));
+      statuses.push_back(std::move(*status));
     } else {
       context.err << "shedlever: no status from " << toString(router) << "\n";
     }
   }
-  return found;
+  return statuses;
 }
 
-ExitCode exitCodeOf(const CliContext& context, const std::vector<NodeStatus>& found) {
-  return found.size() == context.options.operators.size() ? ExitCode::Done : ExitCode::Failed;
+ExitCode exitCodeOf(const CliContext& context, const std::vector<NodeStatus>& statuses) {
+  return statuses.size() == context.options.operators.size() ? ExitCode::Done : ExitCode::Failed;
 }
 
 }  // namespace
 
 std::optional<NodeStatus> fetchStatus(CliPorts& ports, const Endpoint& router) {
-  const OperatorResponse answer = ask(ports, router, "GET", "/status");
-  if (answer.status != OperatorCallStatus::Answered || answer.http_status != kHttpOk) {
+  const OperatorResponse response = callRouter(ports, router, "GET", "/status");
+  if (response.status != OperatorCallStatus::Answered || response.http_status != kHttpOk) {
     return std::nullopt;
   }
   return leaf::try_handle_all(
       [&]() -> leaf::result<std::optional<NodeStatus>> {
-        BOOST_LEAF_AUTO(status, decodeNodeStatus(answer.body));
+        BOOST_LEAF_AUTO(status, decodeNodeStatus(response.body));
         return std::optional<NodeStatus>(std::move(status));
       },
       [] { return std::optional<NodeStatus>(); });
 }
 
 ExitCode runStatus(CliContext& context) {
-  const std::vector<NodeStatus> found = askAll(context);
+  const std::vector<NodeStatus> statuses = fetchAllStatuses(context);
   TextTable table({"node", "zone", "service", "version", "state", "instance", "running", "queued", "slots", "in-flight",
                    "config", "lease-ms", "ranges"});
-  for (const NodeStatus& status : found) {
+  for (const NodeStatus& status : statuses) {
     table.add({status.node.name.value, status.zone.value, status.service.value, status.version, stateOf(status),
                status.instance.empty() ? "-" : status.instance.value, std::to_string(status.load.running),
                std::to_string(status.load.queued), std::to_string(status.load.slots), std::to_string(status.in_flight),
@@ -78,18 +79,18 @@
                std::to_string(status.ranges.size())});
   }
   print(context, table);
-  return exitCodeOf(context, found);
+  return exitCodeOf(context, statuses);
 }
 
 ExitCode runOwners(CliContext& context) {
-  const std::vector<NodeStatus> found = askAll(context);
+  const std::vector<NodeStatus> statuses = fetchAllStatuses(context);
   struct Row {
     std::string service;
     OwnedRange range;
     std::string node;
   };
   std::vector<Row> rows;
-  for (const NodeStatus& status : found) {
+  for (const NodeStatus& status : statuses) {
     for (const OwnedRange& range : status.ranges) {
       rows.push_back({status.service.value, range, status.node.name.value});
     }
@@ -103,44 +104,45 @@
                row.range.owner.value, std::to_string(row.range.token), row.range.releasing ? "releasing" : "owned"});
   }
   print(context, table);
-  return exitCodeOf(context, found);
+  return exitCodeOf(context, statuses);
 }
 
 ExitCode runQuarantine(CliContext& context) {
-  const std::vector<NodeStatus> found = askAll(context);
+  const std::vector<NodeStatus> statuses = fetchAllStatuses(context);
   TextTable table({"node", "fingerprint", "left-ms", "ends"});
-  for (const NodeStatus& status : found) {
-    for (const QuarantineStatus& one : status.quarantined) {
-      std::string ends;
-      for (const InstanceId& end : one.crashed_instances) {
-        ends += (ends.empty() ? "" : ",") + end.value;
+  for (const NodeStatus& status : statuses) {
+    for (const QuarantineStatus& entry : status.quarantined) {
+      std::string instances;
+      for (const InstanceId& instance : entry.crashed_instances) {
+        instances += (instances.empty() ? "" : ",") + instance.value;
       }
-      table.add({status.node.name.value, one.fingerprint, milliseconds(one.remaining), ends.empty() ? "-" : ends});
+      table.add({status.node.name.value, entry.fingerprint, milliseconds(entry.remaining),
+                 instances.empty() ? "-" : instances});
     }
   }
   print(context, table);
-  return exitCodeOf(context, found);
+  return exitCodeOf(context, statuses);
 }
 
 ExitCode runDrain(CliContext& context) {
   if (context.options.operators.size() != 1) {
     Findings findings;
-    findings.add("--operator", "must name the one router whose server is to be emptied.");
+    findings.add("--operator", "must name exactly one router, whose server will be drained.");
     return failWith(context, findings);
   }
   const Endpoint& router = context.options.operators.front();
-  const OperatorResponse answer = ask(context.ports, router, "POST", "/drain");
-  switch (answer.status) {
+  const OperatorResponse response = callRouter(context.ports, router, "POST", "/drain");
+  switch (response.status) {
     case OperatorCallStatus::NotSent:
-      return failWith(context, "the router does not answer; nothing was asked");
+      return failWith(context, "the router can't be reached; no request was sent");
     case OperatorCallStatus::ResponseLost:
-      context.err << "shedlever: the answer was lost: the server may or may not be draining; ask again\n";
+      context.err << "shedlever: the response was lost; the server may or may not be draining; retry the command\n";
       return ExitCode::Unknown;
     case OperatorCallStatus::Answered:
       break;
   }
-  if (answer.http_status != kHttpOk) {
-    return failWith(context, "the router answered with status " + std::to_string(answer.http_status));
+  if (response.http_status != kHttpOk) {
+    return failWith(context, "the router responded with status " + std::to_string(response.http_status));
   }
   context.out << "draining\n";
   return ExitCode::Done;
--- a/source/cli/operator_commands.h
+++ b/source/cli/operator_commands.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Commands that ask routers: `status`, `owners`, `quarantine`, `drain`.
+/// The commands that call routers: `status`, `owners`, `quarantine`, `drain`.
 
 #include <optional>
 
@@ -10,19 +10,19 @@
 
 namespace shedlever {
 
-/// Shows what each router named by `--operator` tells of itself.
+/// Prints the status of each router given with `--operator`.
 ExitCode runStatus(CliContext& context);
 
-/// Shows the ranges of keys that the routers own.
+/// Prints the key ranges that the routers own.
 ExitCode runOwners(CliContext& context);
 
-/// Shows the requests that the routers keep from servers, and under which ends of servers.
+/// Prints the requests that the routers have quarantined, with the server instances that crashed while processing them.
 ExitCode runQuarantine(CliContext& context);
 
-/// Empties the server beside the one router named.
+/// Drains the server of the router given with `--operator`.
 ExitCode runDrain(CliContext& context);
 
-/// @return the router's status; nothing when it does not answer, or with something else.
+/// @return the router's status; nothing without a valid response.
 std::optional<NodeStatus> fetchStatus(CliPorts& ports, const Endpoint& router);
 
 }  // namespace shedlever
--- a/source/cli/settings_files.cc
+++ b/source/cli/settings_files.cc
@@ -73,7 +73,7 @@
       return;
     }
     if (!files_.emplace(name, SettingsFile{path.string(), {name, 0, text.str()}}).second) {
-      findings_.add(path.string(), "gives " + name.value + " a second time.");
+      findings_.add(path.string(), "defines " + name.value + " a second time.");
     }
   }
 
@@ -96,13 +96,13 @@
 }
 
 bool replaceFile(const std::string& path, const std::string& text) {
-  const std::string fresh = path + ".new";
-  std::ofstream file(fresh, std::ios::binary);
+  const std::string temporary_path = path + ".new";
+  std::ofstream file(temporary_path, std::ios::binary);
   file << text;
   file.close();
   std::error_code error;
   if (file) {
-    fs::rename(fresh, path, error);
+    fs::rename(temporary_path, path, error);
   }
   return file && !error;
 }
--- a/source/cli/settings_files.h
+++ b/source/cli/settings_files.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Settings documents in files: "deployment.json" and "services/NAME.json".
+/// Reads settings documents from files: "deployment.json" and "services/NAME.json".
 
 #include <map>
 #include <string>
@@ -12,17 +12,19 @@
 
 namespace shedlever {
 
-/// A document and the file that it was read from.
+/// A document and the path of its file.
 struct SettingsFile {
   std::string path;
   SettingsDocument document;
 };
 
-/// Reads files, and all documents of folders.
-/// @return by document name, version 0; what can't be read or told is a finding.
+/// Reads files and all documents in folders. Unreadable files and files that are not settings documents are added to
+/// the findings.
+/// @return the documents by name, with version 0.
 std::map<DocumentName, SettingsFile> readSettingsFiles(const std::vector<std::string>& paths, Findings& findings);
 
-/// @return whether the text was written whole: into a new file beside it, which then takes its place.
+/// Replaces a file atomically: writes a new file in the same folder and renames it.
+/// @return whether the file was replaced.
 bool replaceFile(const std::string& path, const std::string& text);
 
 }  // namespace shedlever
--- a/source/net/compact_archive.h
+++ b/source/net/compact_archive.h
@@ -1,9 +1,9 @@
 #pragma once
 
 /// @file
-/// A pair of cereal archives for short messages: integers and lengths as variable-length integers (LEB128), floats
-/// as four or eight bytes, least significant first. Reading is safe for any input: it throws cereal::Exception.
-/// Included by message_codec.cc only.
+/// A pair of cereal archives for short messages. Integers and lengths are encoded as variable-length integers (LEB128),
+/// floating-point numbers as four or eight bytes in little-endian order. The input archive throws cereal::Exception for
+/// malformed input.
 
 #include <array>
 #include <bit>
@@ -17,7 +17,7 @@
 
 namespace shedlever {
 
-/// Appends to a string.
+/// Appends the encoded values to a string.
 class CompactOutputArchive : public cereal::OutputArchive<CompactOutputArchive, cereal::AllowEmptyClassElision> {
  public:
   explicit CompactOutputArchive(std::string& output)
@@ -28,7 +28,7 @@
     if constexpr (std::is_floating_point_v<T>) {
       writeFixed(value);
     } else if constexpr (std::is_signed_v<T>) {
-      // Small negative numbers stay short: the sign goes into the lowest bit.
+      // ZigZag encoding: the sign is the lowest bit, so that small negative numbers stay short.
       const auto wide = static_cast<std::int64_t>(value);
       writeVariable((static_cast<std::uint64_t>(wide) << 1U) ^ static_cast<std::uint64_t>(wide >> 63U));
     } else {
@@ -40,9 +40,9 @@
 
  private:
   void writeVariable(std::uint64_t value) {
-    constexpr std::uint64_t kMore = 0x80;
-    while (value >= kMore) {
-      output_.push_back(static_cast<char>(value | kMore));
+    constexpr std::uint64_t kContinuationBit = 0x80;
+    while (value >= kContinuationBit) {
+      output_.push_back(static_cast<char>(value | kContinuationBit));
       value >>= 7U;
     }
     output_.push_back(static_cast<char>(value));
@@ -57,7 +57,7 @@
   std::string& output_;
 };
 
-/// Reads from bytes that outlive the archive.
+/// Decodes values from bytes. The bytes must outlive the archive.
 class CompactInputArchive : public cereal::InputArchive<CompactInputArchive, cereal::AllowEmptyClassElision> {
  public:
   explicit CompactInputArchive(std::string_view input)
@@ -68,27 +68,27 @@
     if constexpr (std::is_floating_point_v<T>) {
       readBytes(&value, sizeof(value));
     } else if constexpr (std::is_signed_v<T>) {
-      const std::uint64_t coded = readVariable();
-      const auto wide = static_cast<std::int64_t>((coded >> 1U) ^ (~(coded & 1U) + 1U));
+      const std::uint64_t zigzag = readVariable();
+      const auto wide = static_cast<std::int64_t>((zigzag >> 1U) ^ (~(zigzag & 1U) + 1U));
       value = narrow<T>(wide);
     } else {
       value = narrow<T>(readVariable());
     }
   }
 
-  /// Every element takes at least one byte, so that a wrong number of elements can't make us reserve memory for
-  /// more of them than the message could hold.
+  /// Reads the number of elements of a container. An element takes at least one byte: rejecting a number larger than
+  /// the remaining input prevents a malformed message from causing a large allocation.
   std::size_t readSize() {
     const std::uint64_t size = readVariable();
     if (size > input_.size()) {
-      throw cereal::Exception("length beyond the end of the message");
+      throw cereal::Exception("length exceeds the remaining message");
     }
     return size;
   }
 
   void readBytes(void* data, std::size_t size) {
     if (size > input_.size()) {
-      throw cereal::Exception("message ends early");
+      throw cereal::Exception("message is truncated");
     }
     std::memcpy(data, input_.data(), size);
     input_.remove_prefix(size);
@@ -100,29 +100,29 @@
   std::uint64_t readVariable() {
     constexpr unsigned kBitsPerByte = 7;
     constexpr unsigned kLastShift = 63;
-    constexpr std::uint8_t kMore = 0x80;
+    constexpr std::uint8_t kContinuationBit = 0x80;
     std::uint64_t value = 0;
     for (unsigned shift = 0; shift <= kLastShift; shift += kBitsPerByte) {
       std::uint8_t byte = 0;
       readBytes(&byte, 1);
-      const std::uint64_t bits = byte & (kMore - 1U);
-      // One encoding for each value: no bits beyond the 64th, no zero byte at the end.
+      const std::uint64_t bits = byte & (kContinuationBit - 1U);
+      // Only the shortest encoding is valid: no bits beyond the 64th and no trailing zero byte.
       if ((shift == kLastShift && bits > 1) || (byte == 0 && shift > 0)) {
         break;
       }
       value |= bits << shift;
-      if ((byte & kMore) == 0) {
+      if ((byte & kContinuationBit) == 0) {
         return value;
       }
     }
-    throw cereal::Exception("not a number");
+    throw cereal::Exception("invalid variable-length integer");
   }
 
   template <class T, class Wide>
   static T narrow(Wide wide) {
     const T value = static_cast<T>(wide);
     if (static_cast<Wide>(value) != wide) {
-      throw cereal::Exception("number out of range");
+      throw cereal::Exception("integer out of range");
     }
     return value;
   }
--- a/source/net/event_buffers.cc
+++ b/source/net/event_buffers.cc
@@ -7,20 +7,20 @@
 
 namespace {
 
-/// Up to here copying is cheaper than a buffer segment of its own.
-constexpr std::size_t kCopyLimit = 2048;
+/// Copying shorter strings is cheaper than a separate buffer segment.
+constexpr std::size_t kMaxCopiedBytes = 2048;
 
 }  // namespace
 
 void appendBytes(evbuffer* buffer, std::string bytes) {
-  if (bytes.size() <= kCopyLimit) {
+  if (bytes.size() <= kMaxCopiedBytes) {
     evbuffer_add(buffer, bytes.data(), bytes.size());
     return;
   }
   auto owned = std::make_unique<std::string>(std::move(bytes));
   const auto release = [](const void*, std::size_t, void* argument) { delete static_cast<std::string*>(argument); };
   if (evbuffer_add_reference(buffer, owned->data(), owned->size(), release, owned.get()) == 0) {
-    // The buffer owns it now and deletes it once written.
+    // The buffer owns the string now and deletes it after writing.
     static_cast<void>(owned.release());
   }
 }
@@ -36,7 +36,7 @@
 void flushOutput(bufferevent* stream) {
   evbuffer* output = bufferevent_get_output(stream);
   if (evbuffer_get_length(output) > 0) {
-    // A bufferevent keeps the front of its output frozen but while it writes itself.
+    // A bufferevent keeps the front of its output buffer frozen except during its own writes.
     evbuffer_unfreeze(output, 1);
     evbuffer_write(output, bufferevent_getfd(stream));
     evbuffer_freeze(output, 1);
--- a/source/net/event_buffers.h
+++ b/source/net/event_buffers.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Bytes into and out of libevent's buffers with as few copies as can be.
+/// Moves bytes into and out of libevent buffers with few copies.
 
 #include <string>
 
@@ -9,17 +9,18 @@
 
 namespace shedlever {
 
-/// Appends the bytes; long ones are handed over without a copy.
+/// Appends the bytes. Long strings are moved into the buffer without a copy.
 void appendBytes(evbuffer* buffer, std::string bytes);
 
-/// Takes the first `size` bytes out of the buffer, which has at least that many.
+/// Removes the first `size` bytes from the buffer, which must contain at least that many.
 std::string takeBytes(evbuffer* buffer, std::size_t size);
 
-/// Takes all bytes out of the buffer.
+/// Removes all bytes from the buffer.
 std::string takeAllBytes(evbuffer* buffer);
 
-/// Writes what a connected stream's output holds now, without a turn of the loop; the loop writes what the kernel does
-/// not take, and finds errors. Saves two changes of the event set and a wake-up for most writes.
+/// Writes the output buffer of a connected stream immediately instead of in the next iteration of the event loop. The
+/// loop writes the bytes that the kernel did not accept, and detects errors. For most writes this saves two changes of
+/// the event set and one wake-up.
 void flushOutput(bufferevent* stream);
 
 }  // namespace shedlever
--- a/source/net/event_handles.h
+++ b/source/net/event_handles.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Owning handles for libevent's objects.
+/// Owning handles for libevent objects.
 
 #include <event2/buffer.h>
 #include <event2/bufferevent.h>
@@ -13,7 +13,7 @@
 
 namespace shedlever {
 
-/// Frees libevent's objects with the function that belongs to each.
+/// Frees each libevent object with the function for its type.
 struct EventDeleter {
   void operator()(event_base* base) const { event_base_free(base); }
   void operator()(event* event) const { event_free(event); }
--- a/source/net/event_loop.cc
+++ b/source/net/event_loop.cc
@@ -19,12 +19,12 @@
 
 EventBaseHandle newBase() {
   event_config* config = event_config_new();
-  // Without this libevent reads the coarse clock, a few milliseconds off, and epoll waits in milliseconds.
+  // Without this flag libevent uses a coarse clock and the millisecond timeouts of epoll.
   event_config_set_flag(config, EVENT_BASE_FLAG_PRECISE_TIMER);
   event_base* base = event_base_new_with_config(config);
   event_config_free(config);
   if (base == nullptr) {
-    throw std::runtime_error("event_base_new failed");
+    throw std::runtime_error("event_base_new_with_config failed");
   }
   return EventBaseHandle(base);
 }
@@ -54,11 +54,11 @@
 
 void EventLoop::stop() { event_base_loopbreak(base_.get()); }
 
-bool EventLoop::runUntil(const std::function<bool()>& done, Duration cap) {
-  bool over = false;
-  const TimerId timer = runAfter(cap, [&over] { over = true; });
+bool EventLoop::runUntil(const std::function<bool()>& done, Duration timeout) {
+  bool timed_out = false;
+  const TimerId timer = runAfter(timeout, [&timed_out] { timed_out = true; });
   bool is_done = done();
-  while (!is_done && !over) {
+  while (!is_done && !timed_out) {
     event_base_loop(base_.get(), EVLOOP_ONCE);
     is_done = done();
   }
@@ -73,10 +73,10 @@
   timer->id = id;
   timer->callback = std::move(callback);
   const auto fired = [](evutil_socket_t, short, void* argument) {
-    auto* due = static_cast<Timer*>(argument);
-    const std::function<void()> due_callback = std::move(due->callback);
-    due->loop->timers_.erase(due->id);
-    due_callback();
+    auto* expired = static_cast<Timer*>(argument);
+    const std::function<void()> expired_callback = std::move(expired->callback);
+    expired->loop->timers_.erase(expired->id);
+    expired_callback();
   };
   timer->event.reset(event_new(base_.get(), -1, EV_TIMEOUT, fired, timer.get()));
   const timeval value = toTimeval(delay);
@@ -93,9 +93,9 @@
 }
 
 void EventLoop::runPosted() {
-  // What these post in turn runs in the next round, so that other events get their turn.
-  const std::vector<std::function<void()>> round = std::exchange(posted_, {});
-  for (const std::function<void()>& callback : round) {
+  // Callbacks posted by these run in the next iteration, so that other events are handled in between.
+  const std::vector<std::function<void()>> batch = std::exchange(posted_, {});
+  for (const std::function<void()>& callback : batch) {
     callback();
   }
 }
--- a/source/net/event_loop.h
+++ b/source/net/event_loop.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The process's one event loop. Everything that does I/O runs on it, in one thread.
+/// The single-threaded event loop of a process. All I/O runs on this loop.
 
 #include <cstdint>
 #include <functional>
@@ -15,10 +15,10 @@
 
 namespace shedlever {
 
-/// Names a timer of one loop; 0 names none.
+/// Identifies a timer of one loop. 0 is not a timer.
 using TimerId = std::uint64_t;
 
-/// Owner of an event_base. Not thread-safe: all calls are made in the thread that runs the loop.
+/// Owns an event_base. Not thread-safe: all calls must be made in the thread that runs the loop.
 class EventLoop {
  public:
   EventLoop();
@@ -26,32 +26,32 @@
   EventLoop(const EventLoop&) = delete;
   EventLoop& operator=(const EventLoop&) = delete;
 
-  /// Runs until `stop`.
+  /// Runs until `stop` is called.
   void run();
 
-  /// Ends `run` after the callback that is running now.
+  /// Makes `run` return after the current callback.
   void stop();
 
-  /// Runs until `done` is true or the cap is over; for tests and short-lived commands.
-  /// @param done is asked after each round of events.
-  /// @param cap longest wait.
-  /// @return the last answer of `done`.
-  bool runUntil(const std::function<bool()>& done, Duration cap);
+  /// Runs until `done` returns true or the timeout expires. For tests and short-lived commands.
+  /// @param done checked before the first and after each iteration of the loop.
+  /// @return the last result of `done`.
+  bool runUntil(const std::function<bool()>& done, Duration timeout);
 
-  /// Runs `callback` once after `delay`. The delay is counted on CLOCK_MONOTONIC, which stands still while
-  /// the machine is suspended: after waking a timer may be late, so nodes compare boot times themselves.
+  /// Runs `callback` once after `delay`. The delay is measured with CLOCK_MONOTONIC, which does not advance while the
+  /// machine is suspended. A timer may therefore run late after a suspension; code that depends on elapsed time
+  /// compares times of a BootTimeClock.
   TimerId runAfter(Duration delay, std::function<void()> callback);
 
-  /// Takes a timer back; one that has run, or 0, is ignored.
+  /// Cancels a timer. Does nothing if the timer has run or the id is 0.
   void cancel(TimerId timer);
 
-  /// Runs `callback` from the loop, after the callback that is running now; in the order of posting.
+  /// Runs `callback` from the loop after the current callback. Posted callbacks run in the order of posting.
   void post(std::function<void()> callback);
 
-  /// Runs `callback` in the loop, not in the signal handler, each time that the process gets the signal.
+  /// Runs `callback` from the loop, not in the signal handler, each time the process receives the signal.
   void onSignal(int signal_number, std::function<void()> callback);
 
-  /// @return the base, for the adapters of this folder only.
+  /// @return the libevent base. Only for the adapters in this folder.
   event_base* base() { return base_.get(); }
 
  private:
--- a/source/net/file_version.h
+++ b/source/net/file_version.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Tells whether a file has been written or replaced since it was last looked at.
+/// Detects that a file was written or replaced since the last check.
 
 #include <sys/stat.h>
 
@@ -9,13 +9,13 @@
 
 namespace shedlever {
 
-/// Asked from time to time: file notifications are not to be had on all machines.
+/// Detects changes by polling, because file notifications are not available on all machines.
 class FileChangeDetector {
  public:
   explicit FileChangeDetector(std::string path);
 
-  /// @return whether the file is another one, or has other bytes, than at the last call or the construction. A file
-  ///   that is missing has not changed.
+  /// @return whether inode, size or modification time of the file differ from those at the last call or at the
+  ///   construction. A missing file counts as unchanged.
   bool hasChanged();
 
  private:
--- a/source/net/http_client.cc
+++ b/source/net/http_client.cc
@@ -14,31 +14,31 @@
 
 namespace {
 
-/// @return whether the text would break out of its place in the request's head.
-bool breaksLine(std::string_view text) {
-  constexpr std::string_view kEnds("\r\n\0", 3);
-  return text.find_first_of(kEnds) != std::string_view::npos;
+/// @return whether the text contains characters that could inject a header or a request.
+bool hasLineBreakOrNul(std::string_view text) {
+  constexpr std::string_view kForbidden("\r\n\0", 3);
+  return text.find_first_of(kForbidden) != std::string_view::npos;
 }
 
 bool isToken(std::string_view text) {
-  return !text.empty() && !breaksLine(text) && text.find_first_of(" \t:") == std::string_view::npos;
+  return !text.empty() && !hasLineBreakOrNul(text) && text.find_first_of(" \t:") == std::string_view::npos;
 }
 
-bool canBeWritten(const HttpRequest& request) {
-  if (!isToken(request.method) || request.target.empty() || breaksLine(request.target) ||
+bool isValidRequest(const HttpRequest& request) {
+  if (!isToken(request.method) || request.target.empty() || hasLineBreakOrNul(request.target) ||
       request.target.find(' ') != std::string::npos) {
     return false;
   }
   for (const HttpHeader& header : request.headers) {
-    if (!isToken(header.name) || breaksLine(header.value)) {
+    if (!isToken(header.name) || hasLineBreakOrNul(header.value)) {
       return false;
     }
   }
   return true;
 }
 
-/// @return request line and headers.
-std::string headOf(const HttpRequest& request, const HttpClientConfig& config) {
+/// @return request line, headers and the empty line.
+std::string requestHead(const HttpRequest& request, const HttpClientConfig& config) {
   std::string head = request.method + " " + request.target + " HTTP/1.1\r\n";
   if (!config.preserve_host) {
     head += "Host: " + toString(config.server) + "\r\n";
@@ -72,18 +72,19 @@
     }
   }
 
-  HttpExchangeId send(HttpRequest request, Duration timeout, HttpExchangeCallback done, HttpResponseValidator check) {
+  HttpExchangeId send(HttpRequest request, Duration timeout, HttpExchangeCallback done,
+                      HttpResponseValidator validator) {
     const HttpExchangeId id = ++last_id_;
     Exchange& exchange = exchanges_[id];
     exchange.done = std::move(done);
-    exchange.check = std::move(check);
-    if (!canBeWritten(request)) {
+    exchange.validator = std::move(validator);
+    if (!isValidRequest(request)) {
       postEnd(id, HttpExchangeStatus::NotSent);
       return id;
     }
     exchange.request = std::move(request);
-    exchange.timer = loop_.runAfter(timeout, [this, id] { giveUp(id, HttpExchangeStatus::TimedOut); });
-    waiting_.push_back(id);
+    exchange.timer = loop_.runAfter(timeout, [this, id] { abandon(id, HttpExchangeStatus::TimedOut); });
+    queue_.push_back(id);
     dispatch();
     return id;
   }
@@ -103,7 +104,7 @@
     const HttpExchangeId id = std::exchange(pooled.exchange, 0);
     Exchange& ended = exchanges_.at(id);
     ended.connection = nullptr;
-    if (exchange.status == HttpExchangeStatus::Complete && ended.check && !ended.check(exchange.response)) {
+    if (exchange.status == HttpExchangeStatus::Complete && ended.validator && !ended.validator(exchange.response)) {
       exchange = {HttpExchangeStatus::Malformed, {}};
       reusable = false;
     }
@@ -129,11 +130,11 @@
   struct Exchange {
     HttpRequest request;
     HttpExchangeCallback done;
-    HttpResponseValidator check;
+    HttpResponseValidator validator;
     TimerId timer = 0;
-    /// Null while it waits for a connection.
+    /// Null while the exchange waits for a connection.
     HttpConnection* connection = nullptr;
-    /// Its end is settled and will be told from the loop.
+    /// The outcome is decided; the callback will run from the loop.
     bool ending = false;
   };
 
@@ -145,28 +146,28 @@
   };
 
   void dispatch() {
-    while (!waiting_.empty()) {
-      const HttpExchangeId id = waiting_.front();
+    while (!queue_.empty()) {
+      const HttpExchangeId id = queue_.front();
       const auto found = exchanges_.find(id);
       if (found == exchanges_.end() || found->second.ending) {
-        waiting_.pop_front();
+        queue_.pop_front();
         continue;
       }
       Pooled* pooled = takeConnection();
       if (pooled == nullptr) {
         return;
       }
-      waiting_.pop_front();
+      queue_.pop_front();
       pooled->exchange = id;
       found->second.connection = pooled->connection.get();
       HttpRequest request = std::move(found->second.request);
-      // Before the body is moved away: the head tells its length.
-      std::string head = headOf(request, config_);
+      // Must run before the body is moved, because the head contains its length.
+      std::string head = requestHead(request, config_);
       pooled->connection->start(std::move(head), std::move(request.body), request.method == "HEAD");
     }
   }
 
-  /// @return an idle connection, or a new one; null when all are busy.
+  /// @return an idle or a new connection; null when all connections are in use.
   Pooled* takeConnection() {
     while (!idle_.empty()) {
       HttpConnection* connection = idle_.back();
@@ -201,8 +202,8 @@
     connections_.erase(found);
   }
 
-  /// Takes an exchange off its connection and closes that.
-  /// @return `status`, or NotSent where that is proved.
+  /// Detaches an exchange from its connection and closes the connection.
+  /// @return `status`, or NotSent when no byte of the request was written.
   HttpExchangeStatus detach(Exchange& exchange, HttpExchangeStatus status) {
     if (exchange.connection == nullptr) {
       return HttpExchangeStatus::NotSent;
@@ -213,10 +214,10 @@
     return sent ? status : HttpExchangeStatus::NotSent;
   }
 
-  void giveUp(HttpExchangeId id, HttpExchangeStatus status) {
-    const HttpExchangeStatus proved = detach(exchanges_.at(id), status);
+  void abandon(HttpExchangeId id, HttpExchangeStatus status) {
+    const HttpExchangeStatus final_status = detach(exchanges_.at(id), status);
     dispatchWithout(id);
-    finish(id, {proved, {}});
+    finish(id, {final_status, {}});
   }
 
   void dispatchWithout(HttpExchangeId id) {
@@ -231,7 +232,7 @@
     exchange.timer = loop_.runAfter(Duration::zero(), [this, id, status] { finish(id, {status, {}}); });
   }
 
-  /// The last thing done in every path: the callback may destroy this client.
+  /// Must be the last call in every path, because the callback may destroy this client.
   void finish(HttpExchangeId id, HttpExchangeResult result) {
     auto node = exchanges_.extract(id);
     loop_.cancel(node.mapped().timer);
@@ -242,9 +243,9 @@
   HttpClientConfig config_;
   HttpExchangeId last_id_ = 0;
   std::unordered_map<HttpExchangeId, Exchange> exchanges_;
-  std::deque<HttpExchangeId> waiting_;
+  std::deque<HttpExchangeId> queue_;
   std::unordered_map<HttpConnection*, Pooled> connections_;
-  /// Used last is taken first, so that connections beyond the need fall idle.
+  /// Last in, first out, so that unneeded connections reach their idle timeout.
   std::vector<HttpConnection*> idle_;
 };
 
@@ -254,8 +255,8 @@
 HttpClient::~HttpClient() = default;
 
 HttpExchangeId HttpClient::send(HttpRequest request, Duration timeout, HttpExchangeCallback done,
-                                HttpResponseValidator check) {
-  return impl_->send(std::move(request), timeout, std::move(done), std::move(check));
+                                HttpResponseValidator validator) {
+  return impl_->send(std::move(request), timeout, std::move(done), std::move(validator));
 }
 
 bool HttpClient::hasSentBytes(HttpExchangeId exchange) const { return impl_->hasSentBytes(exchange); }
--- a/source/net/http_client.h
+++ b/source/net/http_client.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// An HTTP/1.1 client for one endpoint that tells truthfully what became of each request.
+/// An HTTP/1.1 client for one endpoint that reports reliably whether a request was sent and answered.
 ///
-/// It stands on bufferevents and not on evhttp's client, because that one (2.1.12) reports a connection that
-/// never came about like one lost after sending, takes an answer without Content-Length as whole when the
-/// connection ends, and reads bytes that follow an answer as the answer to the next request.
+/// The client uses bufferevents instead of libevent's evhttp client. The evhttp client (2.1.12) reports a failed
+/// connect like a connection lost after sending, accepts a response without Content-Length as complete when the
+/// connection closes, and reads bytes after a response as the response to the next request.
 
 #include <cstddef>
 #include <cstdint>
@@ -19,75 +19,76 @@
 
 namespace shedlever {
 
-/// How an exchange ended.
+/// The outcome of an exchange.
 enum class HttpExchangeStatus : std::uint8_t {
-  Complete,        ///< a whole answer that passed the caller's check
-  NotSent,         ///< proved: no byte of the request was handed to the network
-  ConnectionLost,  ///< the connection ended after (some of) the request was sent, before any byte of an answer
-  Malformed,       ///< the answer was cut short, can't be understood, is over the limits or failed the check
-  TimedOut,        ///< sent, no whole answer in time
+  Complete,        ///< a complete response that passed the caller's validator
+  NotSent,         ///< certain: no byte of the request was written to the network
+  ConnectionLost,  ///< the connection closed after some of the request was sent, before any byte of a response
+  Malformed,       ///< the response was truncated, invalid, over the limits or rejected by the validator
+  TimedOut,        ///< sent, no complete response before the timeout
   Cancelled,       ///< sent, then cancelled by the caller
 };
 
 struct HttpExchangeResult {
   HttpExchangeStatus status = HttpExchangeStatus::NotSent;
-  /// With Complete only.
+  /// Only with Complete.
   HttpResponse response;
-  /// With NotSent: nothing listens at the server's address, so the program there has ended.
+  /// Only with NotSent: no process listens on the server's address.
   bool connection_refused = false;
 };
 
-/// Names an exchange of one client.
+/// Identifies an exchange of one client.
 using HttpExchangeId = std::uint64_t;
 
 using HttpExchangeCallback = std::function<void(HttpExchangeResult)>;
 
-/// @return whether a whole answer belongs to the request.
+/// @return whether a complete response belongs to the request.
 using HttpResponseValidator = std::function<bool(const HttpResponse&)>;
 
 struct HttpClientConfig {
   Endpoint server;
-  /// Requests beyond these connections wait their turn, first come first served.
+  /// Further requests wait in a FIFO queue.
   std::size_t max_connections = 1;
   Duration connect_timeout = std::chrono::seconds(1);
-  /// A connection without work is closed after this long; zero: none is used twice.
+  /// An idle connection is closed after this time. Zero disables the reuse of connections.
   Duration idle_timeout = std::chrono::seconds(30);
   std::size_t max_header_bytes = 64U << 10U;
   std::size_t max_body_bytes = 64U << 20U;
-  /// A connection whose other end acknowledges nothing for so long is lost, also while an answer is waited for; zero
-  /// leaves that to the timeouts.
+  /// A connection counts as lost when the server has acknowledged nothing for this time, also while a response is
+  /// pending. Zero disables this check.
   Duration dead_peer_timeout = Duration::zero();
-  /// Whether `Host` is passed on as the request has it; otherwise it is the server's address.
+  /// Whether the `Host` header of the request is forwarded; otherwise it is the server's address.
   bool preserve_host = false;
-  /// Whether an answer without a length may end with its connection, if that ends in order.
+  /// Whether a response without a length may be delimited by an orderly close of the connection.
   bool allow_close_delimited = false;
 };
 
-/// A pool of connections. One exchange at a time on each; a connection is used again only after a whole
-/// answer with nothing behind it. Never sends a request twice.
+/// A pool of connections, each with one exchange at a time. A connection is reused only after a complete response
+/// without trailing bytes. Never sends a request twice.
 class HttpClient {
  public:
-  /// @param loop outlives the client.
+  /// @param loop must outlive the client.
   HttpClient(EventLoop& loop, HttpClientConfig config);
-  /// Closes all connections; callbacks that have not run will not run.
+  /// Closes all connections. Pending callbacks do not run.
   ~HttpClient();
   HttpClient(const HttpClient&) = delete;
   HttpClient& operator=(const HttpClient&) = delete;
 
-  /// @param request `Host`, `Content-Length` and `Connection` are added; such headers of its own are left out.
-  /// @param timeout over all: waiting for a connection, connecting, sending, receiving.
+  /// @param request framing headers and `Expect` are left out. `Content-Length` is added, and so is `Host` unless
+  ///   `preserve_host` is set.
+  /// @param timeout for the whole exchange: waiting for a connection, connecting, sending and receiving.
   /// @param done runs exactly once, from the loop and never inside `send` or `cancel`.
-  /// @param check an answer that fails it ends the exchange as Malformed and closes the connection. May be empty.
+  /// @param validator may be empty. A rejected response ends the exchange as Malformed and closes the connection.
   HttpExchangeId send(HttpRequest request, Duration timeout, HttpExchangeCallback done,
-                      HttpResponseValidator check = {});
+                      HttpResponseValidator validator = {});
 
-  /// Gives an exchange up; it ends as NotSent or Cancelled. One that has ended is ignored.
+  /// Cancels an exchange, which ends as NotSent or Cancelled. Does nothing if the exchange has ended.
   void cancel(HttpExchangeId exchange);
 
-  /// @return whether any byte of the exchange's request was handed to the network; false once it has ended.
+  /// @return whether any byte of the request was written to the network. False once the exchange has ended.
   bool hasSentBytes(HttpExchangeId exchange) const;
 
-  /// @return connections that are open or being opened.
+  /// @return the number of connections that are open or connecting.
   std::size_t openConnections() const;
 
  private:
--- a/source/net/http_connection.cc
+++ b/source/net/http_connection.cc
@@ -23,11 +23,11 @@
 void HttpConnection::connect() {
   bufferevent_setcb(stream_.get(), onRead, nullptr, onEvent, this);
   const std::optional<SocketAddress> address = toSocketAddress(config_.server);
-  const bool begun = address && bufferevent_socket_connect(stream_.get(), const_cast<sockaddr*>(address->get()),
-                                                           static_cast<int>(address->length)) == 0;
-  // A failure at once is told from the loop as well, never inside the caller's call.
+  const bool started = address && bufferevent_socket_connect(stream_.get(), const_cast<sockaddr*>(address->get()),
+                                                             static_cast<int>(address->length)) == 0;
+  // An immediate failure is reported from the loop too, never inside the caller's call.
   connect_timer_ =
-      loop_.runAfter(begun ? config_.connect_timeout : Duration::zero(), [this] { connectionClosed(false, false); });
+      loop_.runAfter(started ? config_.connect_timeout : Duration::zero(), [this] { connectionClosed(false, false); });
 }
 
 void HttpConnection::connected() {
@@ -46,7 +46,7 @@
 
 void HttpConnection::start(std::string head, std::string body, bool is_head) {
   exchange_active_ = true;
-  request_size_ = head.size() + body.size();
+  request_bytes_ = head.size() + body.size();
   head_ = std::move(head);
   body_ = std::move(body);
   parser_.emplace(config_.max_header_bytes, config_.max_body_bytes, is_head, config_.allow_close_delimited);
@@ -63,7 +63,7 @@
 }
 
 bool HttpConnection::hasSentBytes() const {
-  return exchange_active_ && connected_ && evbuffer_get_length(bufferevent_get_output(stream_.get())) < request_size_;
+  return exchange_active_ && connected_ && evbuffer_get_length(bufferevent_get_output(stream_.get())) < request_bytes_;
 }
 
 bool HttpConnection::appearsOpen() const {
@@ -95,18 +95,18 @@
     endExchange({HttpExchangeStatus::Malformed, {}}, false);
   } else if (progress == HttpResponseParseStatus::Complete) {
     const bool all_sent = evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0;
-    const bool surplus = evbuffer_get_length(input) > 0;
+    const bool has_trailing_bytes = evbuffer_get_length(input) > 0;
     keep_alive_ = parser_->keepAliveTimeout();
     endExchange({HttpExchangeStatus::Complete, parser_->takeResponse()},
-                parser_->keepsConnection() && all_sent && !surplus);
+                parser_->keepsConnection() && all_sent && !has_trailing_bytes);
   }
 }
 
-void HttpConnection::connectionClosed(bool in_order, bool refused) {
+void HttpConnection::connectionClosed(bool orderly, bool refused) {
   loop_.cancel(std::exchange(connect_timer_, 0));
   if (!exchange_active_) {
     observer_.idleConnectionUnusable(*this);
-  } else if (in_order && parser_->completesOnClose()) {
+  } else if (orderly && parser_->completesOnClose()) {
     endExchange({HttpExchangeStatus::Complete, parser_->takeResponse()}, false);
   } else if (parser_->hasStarted()) {
     endExchange({HttpExchangeStatus::Malformed, {}}, false);
--- a/source/net/http_connection.h
+++ b/source/net/http_connection.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One client connection; carries one exchange at a time.
+/// One client connection of an HttpClient, with one exchange at a time.
 
 #include <cstddef>
 #include <memory>
@@ -15,39 +15,40 @@
 
 class HttpConnection;
 
-/// What a pool is told by its connections. The connection may be destroyed inside either call.
+/// Receives the events of a connection. The connection may be destroyed inside either call.
 class HttpConnectionObserver {
  public:
   virtual ~HttpConnectionObserver() = default;
 
-  /// The exchange under way has ended.
-  /// @param reusable whether the connection may carry another.
+  /// The current exchange has ended.
+  /// @param reusable whether the connection may be used for another exchange.
   virtual void exchangeEnded(HttpConnection& connection, HttpExchangeResult exchange, bool reusable) = 0;
 
-  /// The connection ended, or something arrived on it, while it carried no exchange.
+  /// The connection was closed or received unexpected bytes while no exchange was active.
   virtual void idleConnectionUnusable(HttpConnection& connection) = 0;
 };
 
 class HttpConnection {
  public:
-  /// Begins to connect.
-  /// @param loop, config, observer outlive the connection.
+  /// Starts to connect.
+  /// @param loop, config, observer must outlive the connection.
   HttpConnection(EventLoop& loop, const HttpClientConfig& config, HttpConnectionObserver& observer);
   ~HttpConnection();
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
 
-  /// Sends the request, once connected. Only while it carries none.
+  /// Sends the request as soon as the connection is established. No exchange may be active.
   /// @param head request line and headers, with the empty line.
+  /// @param is_head whether the request's method is HEAD.
   void start(std::string head, std::string body, bool is_head);
 
-  /// @return whether any byte of the present request was handed to the network.
+  /// @return whether any byte of the current request was written to the network.
   bool hasSentBytes() const;
 
-  /// @return how long the server said that it keeps the connection without work, less a part for the way.
+  /// @return the safe idle time, see HttpResponseParser::keepAliveTimeout; Duration::max() when unknown.
   Duration keepAliveTimeout() const { return keep_alive_; }
 
-  /// @return whether the connection still looks open: nothing to read, no end seen by the kernel.
+  /// @return whether the kernel has neither received bytes nor seen the connection close.
   bool appearsOpen() const;
 
  private:
@@ -58,24 +59,23 @@
   void connected();
   void writeRequest();
   void readResponse();
-  /// @param in_order whether the server ended the connection in order.
-  /// @param refused whether nothing listens at the server's address.
-  void connectionClosed(bool in_order, bool refused);
+  /// @param orderly whether the server closed the connection with a FIN.
+  /// @param refused whether no process listens on the server's address.
+  void connectionClosed(bool orderly, bool refused);
   void endExchange(HttpExchangeResult exchange, bool reusable);
 
   EventLoop& loop_;
   const HttpClientConfig& config_;
   HttpConnectionObserver& observer_;
   BufferEventHandle stream_;
-  /// Runs out when no connection comes about, or tells of a failure inside the constructor.
+  /// Expires when the connection is not established in time, or reports an immediate failure of the constructor.
   TimerId connect_timer_ = 0;
   bool connected_ = false;
   Duration keep_alive_ = Duration::max();
   bool exchange_active_ = false;
   std::string head_;
   std::string body_;
-  /// Bytes of the present request.
-  std::size_t request_size_ = 0;
+  std::size_t request_bytes_ = 0;
   std::optional<HttpResponseParser> parser_;
 };
 
--- a/source/net/http_exchange.cc
+++ b/source/net/http_exchange.cc
@@ -22,7 +22,7 @@
   if (observer_ == nullptr || request_ == nullptr) {
     return;
   }
-  // Nobody is left to be told of the writing.
+  // No callback may reach this exchange after its destruction.
   evhttp_connection_set_closecb(evhttp_request_get_connection(request_), nullptr, nullptr);
   closed_event_.reset();
   evhttp_send_reply(std::exchange(request_, nullptr), kStatusInternalError, nullptr, nullptr);
@@ -68,9 +68,9 @@
   } else {
     appendBytes(body, std::move(response.body));
   }
-  const auto written = [](evhttp_request* answered, void* argument) {
-    // The connection goes on to other requests, whose exchanges this one must not hear of.
-    evhttp_connection_set_closecb(evhttp_request_get_connection(answered), nullptr, nullptr);
+  const auto written = [](evhttp_request* completed, void* argument) {
+    // Without this, a later close of the reused connection would call this exchange.
+    evhttp_connection_set_closecb(evhttp_request_get_connection(completed), nullptr, nullptr);
     static_cast<Exchange*>(argument)->ended();
   };
   evhttp_request_set_on_complete_cb(request, written, this);
@@ -92,15 +92,15 @@
   evhttp_connection_set_closecb(connection, nullptr, nullptr);
   evhttp_connection_free(connection);
   ended();
-  const std::function<void()> gone = std::exchange(on_disconnect_, nullptr);
-  if (gone) {
-    gone();
+  const std::function<void()> callback = std::exchange(on_disconnect_, nullptr);
+  if (callback) {
+    callback();
   }
 }
 
-void HttpResponder::Exchange::setDisconnectCallback(std::function<void()> gone) {
+void HttpResponder::Exchange::setDisconnectCallback(std::function<void()> callback) {
   if (isOpen()) {
-    on_disconnect_ = std::move(gone);
+    on_disconnect_ = std::move(callback);
   }
 }
 
@@ -115,7 +115,9 @@
 
 void HttpResponder::reply(HttpResponse response) { exchange_->reply(std::move(response)); }
 
-void HttpResponder::onDisconnect(std::function<void()> gone) { exchange_->setDisconnectCallback(std::move(gone)); }
+void HttpResponder::onDisconnect(std::function<void()> callback) {
+  exchange_->setDisconnectCallback(std::move(callback));
+}
 
 bool HttpResponder::isOpen() const { return exchange_->isOpen(); }
 
--- a/source/net/http_exchange.h
+++ b/source/net/http_exchange.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// One request in the hands of an HttpServer's handler.
+/// The state of one request that an HttpServer has passed to its handler.
 
 #include <functional>
 #include <memory>
@@ -11,34 +11,34 @@
 
 namespace shedlever {
 
-/// What a server is told by its exchanges.
+/// Receives the events of exchanges.
 class HttpExchangeObserver {
  public:
   virtual ~HttpExchangeObserver() = default;
 
-  /// The answer was handed to evhttp; it is being written.
+  /// The response was passed to evhttp, which is writing it.
   virtual void responseStarted(std::shared_ptr<HttpResponder::Exchange> exchange) = 0;
-  /// The answer is written, or the client is gone.
+  /// The response is written, or the client has disconnected.
   virtual void exchangeEnded(HttpResponder::Exchange& exchange) = 0;
-  /// @return whether the connection is to be closed after the answer.
+  /// @return whether the connection must be closed after the response.
   virtual bool closesAfterResponse() const = 0;
 };
 
-/// The state behind responders: waits for the answer or for the client to go away.
+/// The state shared by the copies of a responder. Waits for the response or for the client to disconnect.
 class HttpResponder::Exchange : public std::enable_shared_from_this<HttpResponder::Exchange> {
  public:
-  /// @param request is owned by evhttp and stays valid until answered or its connection closed.
+  /// @param request is owned by evhttp. It stays valid until the response is sent or the connection is closed.
   Exchange(EventLoop& loop, HttpExchangeObserver& observer, evhttp_request* request);
-  /// Answers with 500 if nobody has.
+  /// Sends status 500 if no response was sent.
   ~Exchange();
   Exchange(const Exchange&) = delete;
   Exchange& operator=(const Exchange&) = delete;
 
   void reply(HttpResponse response);
-  void setDisconnectCallback(std::function<void()> gone);
+  void setDisconnectCallback(std::function<void()> callback);
   bool isOpen() const { return request_ != nullptr; }
 
-  /// The server is being destroyed; nothing may be called on it or on evhttp any more.
+  /// Called when the server is being destroyed. Afterwards the exchange calls neither the server nor evhttp.
   void abandon();
 
  private:
@@ -49,9 +49,9 @@
 
   EventLoop& loop_;
   HttpExchangeObserver* observer_;
-  /// Null once answered or gone.
+  /// Null once the response was sent or the client has disconnected.
   evhttp_request* request_;
-  /// Fires when the other end closes. evhttp itself does not look while a request waits for its answer.
+  /// Fires when the client closes the connection. evhttp does not detect this while a response is pending.
   EventHandle closed_event_;
   std::function<void()> on_disconnect_;
 };
--- a/source/net/http_headers.h
+++ b/source/net/http_headers.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Header names of HTTP messages.
+/// Lookup and comparison of HTTP headers by name.
 
 #include <string_view>
 #include <vector>
@@ -10,16 +10,16 @@
 
 namespace shedlever {
 
-/// @return whether two header names are the same; case does not count.
+/// @return whether two header names are equal, ignoring case.
 bool sameHeaderName(std::string_view left, std::string_view right);
 
-/// @return the first header of the name; null when there is none.
+/// @return the first header with the name; null when there is none.
 const HttpHeader* findHeader(const std::vector<HttpHeader>& headers, std::string_view name);
 
-/// @return the value of the first header of the name; empty when there is none.
+/// @return the value of the first header with the name; empty when there is none.
 std::string_view headerValue(const std::vector<HttpHeader>& headers, std::string_view name);
 
-/// @return whether the header frames one message or one connection, so that each sender writes its own:
+/// @return whether the header frames a message or is specific to one connection, and so must not be forwarded:
 ///   Connection, Content-Length, Keep-Alive, Proxy-Connection, Transfer-Encoding, TE, Trailer, Upgrade.
 bool isFramingHeader(std::string_view name);
 
--- a/source/net/http_response_parser.cc
+++ b/source/net/http_response_parser.cc
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::string_view kVersionPrefix = "HTTP/1.";
-/// Length of "HTTP/1.1 ", before the status.
+/// Length of "HTTP/1.1 ", which precedes the status.
 constexpr std::size_t kStatusStart = 9;
 constexpr std::size_t kStatusDigits = 3;
 constexpr int kFirstFinalStatus = 200;
@@ -21,11 +21,11 @@
 constexpr int kStatusNotModified = 304;
 constexpr int kHexadecimal = 16;
 constexpr int kDecimal = 10;
-constexpr std::string_view kKeepAliveTimeout = "timeout=";
-constexpr std::size_t kLongestKeepAliveSeconds = 86400;
-/// A connection is used within this part of the time that its server keeps it.
-constexpr int kKeepAlivePart = 3;
-constexpr int kKeepAliveParts = 4;
+constexpr std::string_view kKeepAliveTimeoutPrefix = "timeout=";
+constexpr std::size_t kMaxKeepAliveSeconds = 86400;
+/// The part of the server's idle timeout in which a connection is reused, to avoid a race with the server's close.
+constexpr int kKeepAliveNumerator = 3;
+constexpr int kKeepAliveDenominator = 4;
 
 std::string_view trimmed(std::string_view text) {
   constexpr std::string_view kBlanks = " \t";
@@ -59,9 +59,9 @@
   while (state_ != State::Done) {
     const std::size_t before = evbuffer_get_length(input);
     const State state_before = state_;
-    const HttpResponseParseStatus progress = step(input);
-    if (progress == HttpResponseParseStatus::Invalid) {
-      return progress;
+    const HttpResponseParseStatus status = step(input);
+    if (status == HttpResponseParseStatus::Invalid) {
+      return status;
     }
     if (evbuffer_get_length(input) == before && state_ == state_before) {
       return HttpResponseParseStatus::Incomplete;
@@ -79,7 +79,7 @@
     return HttpResponseParseStatus::Incomplete;
   }
   const Line line = readLine(input);
-  if (line.bad) {
+  if (line.over_limit) {
     return HttpResponseParseStatus::Invalid;
   }
   return line.text ? lineStep(*line.text) : HttpResponseParseStatus::Incomplete;
@@ -90,30 +90,30 @@
   char* text = evbuffer_readln(input, &length, EVBUFFER_EOL_CRLF);
   Line line;
   if (text == nullptr) {
-    line.bad = header_bytes_ + evbuffer_get_length(input) > header_limit_;
+    line.over_limit = header_bytes_ + evbuffer_get_length(input) > header_limit_;
     return line;
   }
   line.text = std::string(text, length);
   std::free(text);
   header_bytes_ += length;
-  line.bad = header_bytes_ > header_limit_;
+  line.over_limit = header_bytes_ > header_limit_;
   return line;
 }
 
 HttpResponseParseStatus HttpResponseParser::lineStep(std::string_view line) {
-  bool good = true;
+  bool valid = true;
   switch (state_) {
     case State::StatusLine:
-      good = takeStatusLine(line);
+      valid = takeStatusLine(line);
       break;
     case State::Headers:
-      good = line.empty() ? headersEnded() : takeHeader(line);
+      valid = line.empty() ? headersEnded() : takeHeader(line);
       break;
     case State::ChunkSize:
-      good = takeChunkSize(line);
+      valid = takeChunkSize(line);
       break;
     case State::ChunkEnd:
-      good = line.empty();
+      valid = line.empty();
       state_ = State::ChunkSize;
       break;
     case State::Trailers:
@@ -125,14 +125,14 @@
     case State::Done:
       break;
   }
-  return good ? HttpResponseParseStatus::Incomplete : HttpResponseParseStatus::Invalid;
+  return valid ? HttpResponseParseStatus::Incomplete : HttpResponseParseStatus::Invalid;
 }
 
 bool HttpResponseParser::takeStatusLine(std::string_view line) {
   if (!line.starts_with(kVersionPrefix) || line.size() < kStatusStart + kStatusDigits) {
     return false;
   }
-  // HTTP/1.0 servers close unless they say otherwise; closing is always allowed.
+  // An HTTP/1.0 connection is never reused, even if the server would keep it open.
   keeps_connection_ = line[kVersionPrefix.size()] != '0';
   const std::optional<std::size_t> status = parseSize(line.substr(kStatusStart, kStatusDigits), kDecimal);
   if (!status || *status < 100 || *status > kLastStatus || *status == kStatusSwitchingProtocols) {
@@ -149,7 +149,7 @@
     return false;
   }
   const std::string_view name = line.substr(0, colon);
-  // A blank here is a folded line or a name that two parsers may read differently.
+  // A blank means a folded line, or a name that two parsers may interpret differently.
   if (name.find_first_of(" \t") != std::string_view::npos) {
     return false;
   }
@@ -175,15 +175,15 @@
   if (sameHeaderName(name, "connection") && sameHeaderName(value, "close")) {
     keeps_connection_ = false;
   }
-  if (sameHeaderName(name, "keep-alive") && value.starts_with(kKeepAliveTimeout)) {
-    takeKeepAlive(value.substr(kKeepAliveTimeout.size()));
+  if (sameHeaderName(name, "keep-alive") && value.starts_with(kKeepAliveTimeoutPrefix)) {
+    takeKeepAlive(value.substr(kKeepAliveTimeoutPrefix.size()));
   }
   return true;
 }
 
 bool HttpResponseParser::headersEnded() {
   if (response_.status < kFirstFinalStatus) {
-    // An interim answer; the real one follows.
+    // An interim response; the final response follows.
     response_ = {};
     content_length_.reset();
     state_ = State::StatusLine;
@@ -206,9 +206,9 @@
   if (!content_length_ || *content_length_ > body_limit_) {
     return false;
   }
-  missing_ = *content_length_;
-  response_.body.reserve(missing_);
-  state_ = missing_ == 0 ? State::Done : State::Body;
+  missing_bytes_ = *content_length_;
+  response_.body.reserve(missing_bytes_);
+  state_ = missing_bytes_ == 0 ? State::Done : State::Body;
   return true;
 }
 
@@ -217,17 +217,17 @@
   if (!size || *size > body_limit_ - response_.body.size()) {
     return false;
   }
-  // The limit is for the headers; the lines between chunks may be many.
+  // The limit applies to the headers, not to the total size of the lines between chunks.
   header_bytes_ = 0;
-  missing_ = *size;
-  state_ = missing_ == 0 ? State::Trailers : State::ChunkData;
+  missing_bytes_ = *size;
+  state_ = missing_bytes_ == 0 ? State::Trailers : State::ChunkData;
   return true;
 }
 
 void HttpResponseParser::takeKeepAlive(std::string_view text) {
   const std::optional<std::size_t> seconds = parseSize(trimmed(text.substr(0, text.find(','))), kDecimal);
-  if (seconds && *seconds < kLongestKeepAliveSeconds) {
-    keep_alive_ = std::chrono::seconds(*seconds) * kKeepAlivePart / kKeepAliveParts;
+  if (seconds && *seconds < kMaxKeepAliveSeconds) {
+    keep_alive_ = std::chrono::seconds(*seconds) * kKeepAliveNumerator / kKeepAliveDenominator;
   }
 }
 
@@ -243,12 +243,12 @@
 }
 
 void HttpResponseParser::takeBody(evbuffer* input) {
-  const std::size_t size = std::min(missing_, evbuffer_get_length(input));
+  const std::size_t size = std::min(missing_bytes_, evbuffer_get_length(input));
   const std::size_t old_size = response_.body.size();
   response_.body.resize(old_size + size);
   evbuffer_remove(input, response_.body.data() + old_size, size);
-  missing_ -= size;
-  if (missing_ == 0) {
+  missing_bytes_ -= size;
+  if (missing_bytes_ == 0) {
     state_ = state_ == State::Body ? State::Done : State::ChunkEnd;
   }
 }
--- a/source/net/http_response_parser.h
+++ b/source/net/http_response_parser.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Reads one HTTP/1.1 answer from a buffer, byte by byte as it arrives, and says whether it is whole.
+/// An incremental parser for one HTTP/1.1 response.
 
 #include <cstddef>
 #include <cstdint>
@@ -16,36 +16,37 @@
 namespace shedlever {
 
 enum class HttpResponseParseStatus : std::uint8_t {
-  Incomplete,  ///< good so far, not whole yet
-  Complete,    ///< whole; what follows in the buffer does not belong to it
-  Invalid,     ///< can't be an answer whose end is certain
+  Incomplete,  ///< valid so far, more bytes are needed
+  Complete,    ///< the following bytes in the buffer do not belong to the response
+  Invalid,     ///< malformed, over a limit, or without a certain end
 };
 
-/// Takes answers with Content-Length, chunked ones, and those that have no body by rule. One that ends with its
-/// connection is Invalid unless the caller allows it: it can't be told from one that was cut in order.
+/// Accepts responses with Content-Length, chunked responses, and responses that never have a body. A close-delimited
+/// response is Invalid unless the caller allows it, because it can't be distinguished from a truncated one.
 class HttpResponseParser {
  public:
+  /// @param header_limit, body_limit in bytes.
   /// @param to_head whether the request's method was HEAD.
-  /// @param allow_close_delimited whether an answer without a length may end with its connection.
+  /// @param allow_close_delimited whether a response without a length may end with its connection.
   HttpResponseParser(std::size_t header_limit, std::size_t body_limit, bool to_head,
                      bool allow_close_delimited = false);
 
-  /// Takes as much from the buffer as belongs to the answer.
+  /// Removes the bytes from the buffer that belong to the response.
   HttpResponseParseStatus consume(evbuffer* input);
 
-  /// @return whether any byte of an answer has been seen.
+  /// @return whether any byte of a response was received.
   bool hasStarted() const { return started_; }
 
-  /// @return whether the server will keep the connection; after Complete.
+  /// @return whether the server keeps the connection open. Valid after Complete.
   bool keepsConnection() const { return keeps_connection_; }
 
-  /// @return whether the answer is whole if the connection ends now, in order.
+  /// @return whether an orderly close of the connection now completes the response.
   bool completesOnClose() const { return state_ == State::UntilClose; }
 
-  /// @return how long the server keeps a connection without work, less a part for the way; max when it said nothing.
+  /// @return a safe part of the idle timeout that the server announced; Duration::max() when it announced none.
   Duration keepAliveTimeout() const { return keep_alive_; }
 
-  /// The answer, after Complete; headers that frame it are left out.
+  /// Moves the response out. Valid after Complete. Framing headers are left out.
   HttpResponse takeResponse() { return std::move(response_); }
 
  private:
@@ -61,10 +62,11 @@
     Done
   };
 
-  /// One line read from the buffer; `bad` when it is over the limit.
+  /// One line from the buffer, without its end.
   struct Line {
     std::optional<std::string> text;
-    bool bad = false;
+    /// The headers exceed their limit.
+    bool over_limit = false;
   };
 
   Line readLine(evbuffer* input);
@@ -89,8 +91,8 @@
   bool keeps_connection_ = true;
   bool chunked_ = false;
   std::optional<std::size_t> content_length_;
-  /// Bytes still missing from the body or from the present chunk.
-  std::size_t missing_ = 0;
+  /// Of the body or the current chunk.
+  std::size_t missing_bytes_ = 0;
   std::size_t header_bytes_ = 0;
   HttpResponse response_;
 };
--- a/source/net/http_server.cc
+++ b/source/net/http_server.cc
@@ -16,9 +16,9 @@
 
 namespace {
 
-/// Requests up to this many times the limits reach the handler, so that it can refuse them in its own form.
+/// Requests up to this multiple of the limits reach the handler, so that it can format the rejection.
 constexpr std::size_t kHardLimitFactor = 2;
-/// ": " and the end of line.
+/// ": " and CR LF.
 constexpr std::size_t kHeaderSeparatorBytes = 4;
 
 constexpr ev_uint16_t kAllMethods = EVHTTP_REQ_GET | EVHTTP_REQ_POST | EVHTTP_REQ_HEAD | EVHTTP_REQ_PUT |
@@ -57,7 +57,7 @@
   return value;
 }
 
-/// Takes the request out of evhttp's hands, body included.
+/// Moves the request out of evhttp, including its body.
 HttpServerRequest takeRequest(evhttp_request* request, const HttpServerLimits& limits) {
   HttpServerRequest result;
   result.http.method = methodName(evhttp_request_get_command(request));
@@ -91,37 +91,37 @@
  public:
   Impl(EventLoop& loop, const HttpServerLimits& limits, HttpHandler handler)
       : loop_(loop), limits_(limits), handler_(std::move(handler)), server_(evhttp_new(loop.base())) {
-    const auto arrived = [](evhttp_request* request, void* self) { static_cast<Impl*>(self)->requestArrived(request); };
-    evhttp_set_gencb(server_.get(), arrived, this);
+    const auto on_request = [](evhttp_request* request, void* self) { static_cast<Impl*>(self)->onRequest(request); };
+    evhttp_set_gencb(server_.get(), on_request, this);
     evhttp_set_allowed_methods(server_.get(), kAllMethods);
     evhttp_set_default_content_type(server_.get(), nullptr);
     evhttp_set_max_headers_size(server_.get(), static_cast<ev_ssize_t>(limits.header_bytes * kHardLimitFactor));
     evhttp_set_max_body_size(server_.get(), static_cast<ev_ssize_t>(limits.body_bytes * kHardLimitFactor));
-    // Reads the rest of a body that is too long, so that the client reads the answer and not a reset.
+    // Reads the rest of an oversized body, so that the client receives the response and not a reset.
     evhttp_set_flags(server_.get(), EVHTTP_SERVER_LINGERING_CLOSE);
     const timeval idle = toTimeval(limits.idle_timeout);
     evhttp_set_timeout_tv(server_.get(), &idle);
   }
 
   ~Impl() override {
-    for (HttpResponder::Exchange* exchange : waiting_) {
+    for (HttpResponder::Exchange* exchange : pending_) {
       exchange->abandon();
     }
     for (const auto& [exchange, owned] : writing_) {
       owned->abandon();
     }
-    // Freeing evhttp calls back into the exchanges' close callbacks, so those are still alive here.
+    // Freeing evhttp runs the close callbacks of the exchanges, which must still exist.
     server_.reset();
   }
 
-  /// @return errno, 0 on success.
+  /// @return 0 on success, otherwise errno.
   int bind(const Endpoint& listen) {
     bound_ = evhttp_bind_socket_with_handle(server_.get(), listen.address.c_str(), listen.port);
     if (bound_ == nullptr) {
       return errno;
     }
     const evutil_socket_t socket = evhttp_bound_socket_get_fd(bound_);
-    // Accepted sockets inherit it.
+    // Accepted sockets inherit the option.
     setNoDelay(socket);
     endpoint_ = localEndpoint(socket);
     return 0;
@@ -137,13 +137,13 @@
   }
 
   void responseStarted(std::shared_ptr<HttpResponder::Exchange> exchange) override {
-    waiting_.erase(exchange.get());
+    pending_.erase(exchange.get());
     HttpResponder::Exchange* key = exchange.get();
     writing_.emplace(key, std::move(exchange));
   }
 
   void exchangeEnded(HttpResponder::Exchange& exchange) override {
-    waiting_.erase(&exchange);
+    pending_.erase(&exchange);
     const auto written = writing_.extract(&exchange);
     checkDrained();
   }
@@ -151,18 +151,18 @@
   bool closesAfterResponse() const override { return draining_; }
 
   const Endpoint& endpoint() const { return endpoint_; }
-  std::size_t inFlightRequests() const { return waiting_.size(); }
+  std::size_t inFlightRequests() const { return pending_.size(); }
 
  private:
-  void requestArrived(evhttp_request* request) {
-    HttpServerRequest taken = takeRequest(request, limits_);
+  void onRequest(evhttp_request* request) {
+    HttpServerRequest server_request = takeRequest(request, limits_);
     auto exchange = std::make_shared<HttpResponder::Exchange>(loop_, *this, request);
-    waiting_.insert(exchange.get());
-    handler_(std::move(taken), HttpResponder(std::move(exchange)));
+    pending_.insert(exchange.get());
+    handler_(std::move(server_request), HttpResponder(std::move(exchange)));
   }
 
   void checkDrained() {
-    if (draining_ && drained_ && waiting_.empty() && writing_.empty()) {
+    if (draining_ && drained_ && pending_.empty() && writing_.empty()) {
       loop_.post(std::exchange(drained_, nullptr));
     }
   }
@@ -173,7 +173,7 @@
   EvhttpHandle server_;
   evhttp_bound_socket* bound_ = nullptr;
   Endpoint endpoint_;
-  std::unordered_set<HttpResponder::Exchange*> waiting_;
+  std::unordered_set<HttpResponder::Exchange*> pending_;
   std::unordered_map<HttpResponder::Exchange*, std::shared_ptr<HttpResponder::Exchange>> writing_;
   bool draining_ = false;
   std::function<void()> drained_;
--- a/source/net/http_server.h
+++ b/source/net/http_server.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// An HTTP/1.1 server on the event loop, by evhttp.
+/// An HTTP/1.1 server on the event loop, based on libevent's evhttp.
 
 #include <cstddef>
 #include <functional>
@@ -14,45 +14,43 @@
 
 namespace shedlever {
 
-/// Limits of one server, in bytes.
 struct HttpServerLimits {
-  /// Request line and headers together.
+  /// Limit for request line and headers together.
   std::size_t header_bytes = 16U << 10U;
   std::size_t body_bytes = 8U << 20U;
-  /// A connection that neither sends nor takes anything for this long is closed. Not counted while a
-  /// request waits for its answer.
+  /// A connection without any transfer for this time is closed. Does not apply while a response is pending.
   Duration idle_timeout = std::chrono::seconds(60);
 };
 
-/// What of a request was over its limit.
+/// The part of a request that exceeded its limit.
 enum class HttpOversize : std::uint8_t {
   None,
-  Headers,  ///< usually answered with 431
-  Body,     ///< usually answered with 413; the body has been dropped
+  Headers,  ///< usually answered with status 431
+  Body,     ///< usually answered with status 413; the body was dropped
 };
 
 struct HttpServerRequest {
   HttpRequest http;
-  /// The other end of the connection.
+  /// The client's address.
   Endpoint peer;
-  /// Up to twice the limits a request still reaches the handler, marked here and without its body, so that
-  /// the answer can be of the handler's own form. Beyond that evhttp itself answers (400 for headers, 413 for a
-  /// body) and closes; nothing has reached the handler then.
+  /// A request of up to twice the limits still reaches the handler, marked here and without its body, so that the
+  /// handler can format the response. Beyond that evhttp responds itself (400 for headers, 413 for a body) and closes
+  /// the connection; the handler is not called.
   HttpOversize oversize = HttpOversize::None;
 };
 
-/// Answers one request, now or later. Copies name the same request. When all copies are gone without an
-/// answer the client gets 500. After the server is destroyed all calls do nothing.
+/// Responds to one request, immediately or later. Copies refer to the same request. The client receives status 500 when
+/// all copies are destroyed without a response. All calls do nothing after the server was destroyed.
 class HttpResponder {
  public:
-  /// Sends the answer with Content-Length. Only the first call counts. Headers that frame the message
-  /// (Content-Length, Transfer-Encoding, Connection) are the server's own business and left out.
+  /// Sends the response with Content-Length. Calls after the first are ignored. Framing headers of the response
+  /// (Content-Length, Transfer-Encoding, Connection) are left out, because the server sets them.
   void reply(HttpResponse response);
 
-  /// @param gone runs once from the loop if the client goes away before it has been answered.
-  void onDisconnect(std::function<void()> gone);
+  /// @param callback runs once from the loop if the client disconnects before the response.
+  void onDisconnect(std::function<void()> callback);
 
-  /// @return whether an answer can still reach the client.
+  /// @return whether a response can still be sent to the client.
   bool isOpen() const;
 
   class Exchange;
@@ -64,11 +62,11 @@
 
 using HttpHandler = std::function<void(HttpServerRequest request, HttpResponder responder)>;
 
-/// Listens on one address. All methods that evhttp knows reach the handler (GET, HEAD, POST, PUT, DELETE,
-/// OPTIONS, TRACE, CONNECT, PATCH); other words are answered with 501.
+/// Listens on one address. The handler receives all methods that evhttp supports (GET, HEAD, POST, PUT, DELETE,
+/// OPTIONS, TRACE, CONNECT, PATCH). Other methods are answered with status 501.
 class HttpServer {
  public:
-  /// @param listen port 0 takes a free one.
+  /// @param listen port 0 selects a free port.
   /// @return the server, or a NetworkError.
   static leaf::result<std::unique_ptr<HttpServer>> listen(EventLoop& loop, const Endpoint& listen,
                                                           const HttpServerLimits& limits, HttpHandler handler);
@@ -76,14 +74,14 @@
   HttpServer(const HttpServer&) = delete;
   HttpServer& operator=(const HttpServer&) = delete;
 
-  /// @return where it listens, with the port in use.
+  /// @return the address and port that the server listens on.
   const Endpoint& endpoint() const;
 
-  /// @return requests that were handed to the handler and not answered.
+  /// @return the number of requests that were passed to the handler and have no response yet.
   std::size_t inFlightRequests() const;
 
-  /// Accepts no more connections, answers what is in flight and closes each connection after its answer.
-  /// @param done runs from the loop once nothing is in flight.
+  /// Stops accepting connections, completes the requests in flight and closes each connection after its response.
+  /// @param done runs from the loop when all responses are written.
   void drain(std::function<void()> done);
 
  private:
--- a/source/net/link_pacer.cc
+++ b/source/net/link_pacer.cc
@@ -8,10 +8,10 @@
 
 namespace {
 
-/// A piece takes the link about so long: what a small message may have to wait.
-constexpr Duration kPieceTime = std::chrono::milliseconds(8);
-constexpr std::size_t kLeastPiece = 4U << 10U;
-constexpr std::size_t kLargestPiece = 256U << 10U;
+/// The transmission time of one piece, which is the longest wait of a small message.
+constexpr Duration kPieceTransmissionTime = std::chrono::milliseconds(8);
+constexpr std::size_t kMinPieceBytes = 4U << 10U;
+constexpr std::size_t kMaxPieceBytes = 256U << 10U;
 constexpr double kMicrosecondsPerSecond = 1e6;
 
 }  // namespace
@@ -21,12 +21,13 @@
 
 LinkPacer::~LinkPacer() { loop_.cancel(timer_); }
 
-std::size_t LinkPacer::pieceSize() const {
+std::size_t LinkPacer::pieceBytes() const {
   if (!budget_.isLimited()) {
     return std::numeric_limits<std::size_t>::max();
   }
-  const double bytes = config_.bytes_per_second * static_cast<double>(kPieceTime.count()) / kMicrosecondsPerSecond;
-  return std::clamp(static_cast<std::size_t>(bytes), kLeastPiece, kLargestPiece);
+  const double bytes =
+      config_.bytes_per_second * static_cast<double>(kPieceTransmissionTime.count()) / kMicrosecondsPerSecond;
+  return std::clamp(static_cast<std::size_t>(bytes), kMinPieceBytes, kMaxPieceBytes);
 }
 
 void LinkPacer::recordSent(std::size_t bytes) {
@@ -48,7 +49,7 @@
 void LinkPacer::cancel(TransferId transfer) {
   const auto found = std::find_if(transfers_.begin(), transfers_.end(),
                                   [transfer](const Transfer& entry) { return entry.id == transfer; });
-  // The one that writes just now ends when its writer returns.
+  // A transfer can't be cancelled from inside its writer, whose result decides when the transfer ends.
   if (found == transfers_.end() || (running_ && found == transfers_.begin())) {
     return;
   }
@@ -65,13 +66,13 @@
       break;
     }
     Transfer& transfer = transfers_.front();
-    const std::size_t most = std::min(pieceSize(), transfer.remaining_bytes);
-    const std::size_t written = transfer.write(most);
+    const std::size_t max_bytes = std::min(pieceBytes(), transfer.remaining_bytes);
+    const std::size_t written = transfer.write(max_bytes);
     budget_.spend(written, clock_.now());
-    const bool done = written < most || written == transfer.remaining_bytes;
-    const std::size_t settled = done ? transfer.remaining_bytes : written;
-    backlog_bytes_ -= settled;
-    transfer.remaining_bytes -= settled;
+    const bool done = written < max_bytes || written == transfer.remaining_bytes;
+    const std::size_t finished_bytes = done ? transfer.remaining_bytes : written;
+    backlog_bytes_ -= finished_bytes;
+    transfer.remaining_bytes -= finished_bytes;
     if (done) {
       transfers_.pop_front();
     }
--- a/source/net/link_pacer.h
+++ b/source/net/link_pacer.h
@@ -1,8 +1,8 @@
 #pragma once
 
 /// @file
-/// Shares a machine's link between large and small messages: large ones are written piece by piece at the link's own
-/// pace, so that small ones never wait behind them.
+/// Paces large messages to the rate of the machine's network link. They are written in pieces, so that small messages
+/// don't wait behind them.
 
 #include <cstddef>
 #include <cstdint>
@@ -14,40 +14,40 @@
 
 namespace shedlever {
 
-/// Messages of at least so many bytes are paced.
+/// Messages of at least this size are paced.
 inline constexpr std::size_t kMinPacedMessageBytes = 24U << 10U;
 
-/// Names a paced message; 0 names none.
+/// Identifies a paced message. 0 is not a message.
 using TransferId = std::uint64_t;
 
 class LinkPacer {
  public:
-  /// Writes at most `most` bytes of the message.
-  /// @return how many; fewer than `most` when nothing is left to write, or nobody reads it any more.
-  using Writer = std::function<std::size_t(std::size_t most)>;
+  /// Writes at most `max_bytes` bytes of the message.
+  /// @return the number of bytes written. Fewer than `max_bytes` when nothing is left to write or the message has no
+  ///   reader any more.
+  using Writer = std::function<std::size_t(std::size_t max_bytes)>;
 
-  /// @param loop, clock outlive the pacer.
+  /// @param loop, clock must outlive the pacer.
   LinkPacer(EventLoop& loop, const Clock& clock, const LinkConfig& config);
   ~LinkPacer();
   LinkPacer(const LinkPacer&) = delete;
   LinkPacer& operator=(const LinkPacer&) = delete;
 
-  /// A small message was written.
+  /// Accounts for a message that was written without pacing.
   void recordSent(std::size_t bytes);
 
-  /// Writes a message in pieces, after those that were started before it. The first piece may be written inside the
-  /// call.
+  /// Writes a message in pieces, after all messages started before. The first piece may be written inside the call.
   TransferId start(std::size_t bytes, Writer write);
 
-  /// The rest of the message is not wanted any more.
+  /// Drops the rest of the message.
   void cancel(TransferId transfer);
 
-  /// @return bytes of paced messages that are not written yet.
+  /// @return the number of bytes of paced messages that are not written yet.
   std::size_t backlogBytes() const { return backlog_bytes_; }
 
   bool isLimited() const { return budget_.isLimited(); }
 
-  /// @return how long the link takes for the backlog and so many bytes more.
+  /// @return how long the link takes to send the backlog and `more_bytes` bytes.
   Duration transmissionTime(double more_bytes) const {
     return budget_.transmissionTime(static_cast<double>(backlog_bytes_) + more_bytes);
   }
@@ -60,7 +60,7 @@
   };
 
   void run();
-  std::size_t pieceSize() const;
+  std::size_t pieceBytes() const;
 
   EventLoop& loop_;
   const Clock& clock_;
--- a/source/net/message_stream.cc
+++ b/source/net/message_stream.cc
@@ -12,15 +12,15 @@
 
 namespace {
 
-/// How long a closed stream waits for the other end to close too.
-constexpr Duration kLinger = std::chrono::seconds(1);
+/// How long a stream waits for the other side to close after the local side has shut down writing.
+constexpr Duration kLingerTimeout = std::chrono::seconds(1);
 constexpr std::size_t kWordBytes = 4;
 constexpr unsigned kBitsPerByte = 8;
 
 using Word = std::array<unsigned char, kWordBytes>;
 
-/// Least significant byte first.
-std::string toBytes(std::uint32_t value) {
+/// @return the word in little-endian byte order.
+std::string encodeWord(std::uint32_t value) {
   std::string bytes;
   for (std::size_t i = 0; i < kWordBytes; ++i) {
     bytes.push_back(static_cast<char>(value >> (i * kBitsPerByte)));
@@ -28,7 +28,7 @@
   return bytes;
 }
 
-/// @return the word at the front of the buffer, which holds one.
+/// @return the first word of the buffer, which must contain at least one.
 std::uint32_t peekWord(evbuffer* buffer) {
   Word bytes{};
   evbuffer_copyout(buffer, bytes.data(), bytes.size());
@@ -48,13 +48,13 @@
       callbacks_(callbacks),
       stream_(bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE)) {
   start();
-  const std::string preface = toBytes(options_.preface);
+  const std::string preface = encodeWord(options_.preface);
   evbuffer_add(bufferevent_get_output(stream_.get()), preface.data(), preface.size());
   enqueued_bytes_ = preface.size();
   const std::optional<SocketAddress> address = toSocketAddress(to);
-  const bool begun = address && bufferevent_socket_connect(stream_.get(), const_cast<sockaddr*>(address->get()),
-                                                           static_cast<int>(address->length)) == 0;
-  connect_timer_ = loop_.runAfter(begun ? options_.connect_timeout : Duration::zero(), [this] { close(); });
+  const bool started = address && bufferevent_socket_connect(stream_.get(), const_cast<sockaddr*>(address->get()),
+                                                             static_cast<int>(address->length)) == 0;
+  connect_timer_ = loop_.runAfter(started ? options_.connect_timeout : Duration::zero(), [this] { close(); });
 }
 
 MessageStream::MessageStream(EventLoop& loop, evutil_socket_t socket, const MessageStreamOptions& options,
@@ -99,7 +99,7 @@
   }
   dropWrittenMessages();
   evbuffer* output = bufferevent_get_output(stream_.get());
-  const std::string length = toBytes(static_cast<std::uint32_t>(message.size()));
+  const std::string length = encodeWord(static_cast<std::uint32_t>(message.size()));
   evbuffer_add(output, length.data(), length.size());
   appendBytes(output, std::move(message));
   enqueued_bytes_ += size;
@@ -147,10 +147,10 @@
 }
 
 void MessageStream::shutDownWriting() {
-  // Closing with unread bytes would reset the connection and could take what was written with it.
+  // Closing a socket with unread input would reset the connection and could discard written messages.
   shutdown(bufferevent_getfd(stream_.get()), SHUT_WR);
   loop_.cancel(close_timer_);
-  close_timer_ = loop_.runAfter(kLinger, [this] { close(); });
+  close_timer_ = loop_.runAfter(kLingerTimeout, [this] { close(); });
 }
 
 void MessageStream::onRead(bufferevent*, void* argument) { static_cast<MessageStream*>(argument)->readMessages(); }
--- a/source/net/message_stream.h
+++ b/source/net/message_stream.h
@@ -1,8 +1,7 @@
 #pragma once
 
 /// @file
-/// One TCP connection that carries messages, each with its length before it. Control messages that are too long for
-/// datagrams and request frames both travel on it.
+/// A TCP connection for length-prefixed messages.
 
 #include <cstddef>
 #include <cstdint>
@@ -17,59 +16,57 @@
 namespace shedlever {
 
 struct MessageStreamOptions {
-  /// First word on the stream, from the side that connects; tells protocol and version.
+  /// The first four bytes on the stream, sent by the connecting side. Identifies protocol and version.
   std::uint32_t preface = 0;
-  /// Longest message, in bytes.
   std::size_t max_message_bytes = 0;
-  /// Bytes that may wait unwritten.
+  /// Limit for the send buffer.
   std::size_t max_unsent_bytes = 0;
-  /// Whether a message over one of the limits ends the stream, or is left out.
+  /// Whether sending a message over one of the limits closes the stream. Otherwise the message is dropped.
   bool close_on_limit = true;
   Duration connect_timeout = std::chrono::seconds(1);
-  /// A stream whose other end acknowledges nothing for this long is ended.
+  /// The stream is closed when the other side has acknowledged nothing for about this time.
   Duration dead_peer_timeout = std::chrono::seconds(4);
 };
 
-/// Events of a stream. The stream may be destroyed inside each of them.
+/// Receives the events of a stream. The stream may be destroyed inside each call.
 class MessageStreamCallbacks {
  public:
   virtual ~MessageStreamCallbacks() = default;
 
-  /// @param message is valid during the call only.
+  /// @param message is only valid during the call.
   virtual void onMessage(std::string_view message) = 0;
-  /// The last event.
+  /// The last event of the stream.
   virtual void onClosed() = 0;
 };
 
 class MessageStream {
  public:
-  /// Connects. Messages may be sent at once.
-  /// @param loop, callbacks outlive the stream.
+  /// Starts to connect. Messages may be sent before the connection is established.
+  /// @param loop, callbacks must outlive the stream.
   MessageStream(EventLoop& loop, const Endpoint& to, const MessageStreamOptions& options,
                 MessageStreamCallbacks& callbacks);
-  /// Takes over an accepted socket.
+  /// Takes ownership of an accepted socket.
   MessageStream(EventLoop& loop, evutil_socket_t socket, const MessageStreamOptions& options,
                 MessageStreamCallbacks& callbacks);
-  /// Closes at once; no callback runs.
+  /// Closes the connection immediately without a callback.
   ~MessageStream();
   MessageStream(const MessageStream&) = delete;
   MessageStream& operator=(const MessageStream&) = delete;
 
-  /// @return false when the stream has ended, or the message is over a limit (the stream may end then); nothing of the
-  ///   message was sent.
+  /// @return false when the stream is closed or the message exceeds a limit. Then no byte of the message was sent.
   bool send(std::string message);
 
-  /// Ends the stream once all is written and the other end has closed, or does not within a second.
+  /// Closes the stream after all messages are written, and the other side has closed or a linger time has passed.
   void closeAfterFlush();
 
-  /// Ends the stream at once: what arrives on it can't be trusted. `onClosed` runs from the loop; no further message
-  /// does.
+  /// Closes the stream without waiting for unsent messages, for example after a protocol error. `onClosed` runs from
+  /// the loop; `onMessage` is not called again.
   void abort() { scheduleClose(); }
 
-  /// @return how many messages, counted back from the last, were not written whole to the network. After the end too.
+  /// @return the number of messages that were not completely written to the network. Also valid after the close.
   std::size_t unsentMessages() const;
 
-  /// @return bytes that wait to be written.
+  /// @return the number of bytes in the send buffer. Also valid after the close.
   std::size_t unsentBytes() const;
 
  private:
@@ -83,7 +80,7 @@
   bool takePreface(evbuffer* input);
   void shutDownWriting();
   void close();
-  /// Ends from the loop, not inside the present call.
+  /// Closes from the loop, not inside the current call.
   void scheduleClose();
   std::uint64_t writtenBytes() const;
   void dropWrittenMessages();
@@ -91,20 +88,19 @@
   EventLoop& loop_;
   MessageStreamOptions options_;
   MessageStreamCallbacks& callbacks_;
-  /// Null after the end.
+  /// Null after the close.
   BufferEventHandle stream_;
   TimerId connect_timer_ = 0;
-  /// Ends the stream: at once but from the loop, or after the linger time.
+  /// Closes the stream in the next iteration of the loop or after the linger time.
   TimerId close_timer_ = 0;
   bool expects_preface_ = false;
   bool closed_ = false;
   bool closing_ = false;
-  /// Where each message ends, as a count of all bytes handed over; those known to be written are taken out.
+  /// The end of each message as an offset in the stream. Written messages are removed.
   std::deque<std::uint64_t> message_ends_;
   std::uint64_t enqueued_bytes_ = 0;
-  /// Unwritten bytes at the end of the stream.
   std::size_t unsent_bytes_at_close_ = 0;
-  /// Set to false by the destructor, for loops that run callbacks.
+  /// Set to false by the destructor, so that a loop over messages detects the destruction inside a callback.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
 
--- a/source/net/metrics_text.h
+++ b/source/net/metrics_text.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The metrics of a process in Prometheus's text format.
+/// The metrics of a process in the Prometheus text format.
 
 #include <prometheus/collectable.h>
 
@@ -9,10 +9,9 @@
 
 namespace shedlever {
 
-/// Content type of the text.
 inline constexpr const char* kMetricsContentType = "text/plain; version=0.0.4; charset=utf-8";
 
-/// @return all metrics of the registry as `GET /metrics` answers them.
+/// @return all metrics of the registry as the body of the response to `GET /metrics`.
 std::string metricsText(const prometheus::Collectable& registry);
 
 }  // namespace shedlever
--- a/source/net/request_parser.cc
+++ b/source/net/request_parser.cc
@@ -13,8 +13,8 @@
 
 HttpRequestParser& self(http_parser* parser) { return *static_cast<HttpRequestParser*>(parser->data); }
 
-/// @return whether every line ends with CR LF, and none continues the one before it.
-bool linesAreSound(std::string_view block) {
+/// @return whether every line ends with CR LF, no line is folded and there is no NUL.
+bool linesAreValid(std::string_view block) {
   for (std::size_t at = block.find('\n'); at != std::string_view::npos; at = block.find('\n', at + 1)) {
     if (at == 0 || block[at - 1] != '\r') {
       return false;
@@ -26,13 +26,13 @@
   return block.find('\0') == std::string_view::npos;
 }
 
-/// @return whether no header name is followed by a blank before its colon.
-bool namesAreSound(std::string_view block) {
+/// @return whether no colon is preceded by a blank.
+bool colonsAreValid(std::string_view block) {
   return block.find(" :") == std::string_view::npos && block.find("\t:") == std::string_view::npos;
 }
 
-/// @return whether a list with commas holds the token; case does not count.
-bool namesToken(std::string_view list, std::string_view token) {
+/// @return whether a comma-separated list contains the token, ignoring case.
+bool containsToken(std::string_view list, std::string_view token) {
   while (!list.empty()) {
     const std::size_t comma = list.find(',');
     std::string_view entry = list.substr(0, comma);
@@ -49,16 +49,16 @@
   return false;
 }
 
-/// Removes the headers that frame the message, and those that the client's Connection header names.
+/// Removes the framing headers and the headers that are listed in a Connection header.
 void eraseConnectionHeaders(std::vector<HttpHeader>& headers) {
-  std::string named;
+  std::string connection_options;
   for (const HttpHeader& header : headers) {
     if (sameHeaderName(header.name, "connection")) {
-      named += "," + header.value;
+      connection_options += "," + header.value;
     }
   }
   std::erase_if(headers, [&](const HttpHeader& header) {
-    return isFramingHeader(header.name) || namesToken(named, header.name);
+    return isFramingHeader(header.name) || containsToken(connection_options, header.name);
   });
 }
 
@@ -72,15 +72,15 @@
 
 const http_parser_settings& HttpRequestParser::settings() {
   static const http_parser_settings instance = [] {
-    http_parser_settings made;
-    http_parser_settings_init(&made);
-    made.on_url = onUrl;
-    made.on_header_field = onHeaderField;
-    made.on_header_value = onHeaderValue;
-    made.on_headers_complete = onHeadersComplete;
-    made.on_body = onBody;
-    made.on_message_complete = onMessageComplete;
-    return made;
+    http_parser_settings callbacks;
+    http_parser_settings_init(&callbacks);
+    callbacks.on_url = onUrl;
+    callbacks.on_header_field = onHeaderField;
+    callbacks.on_header_value = onHeaderValue;
+    callbacks.on_headers_complete = onHeadersComplete;
+    callbacks.on_body = onBody;
+    callbacks.on_message_complete = onMessageComplete;
+    return callbacks;
   }();
   return instance;
 }
@@ -129,7 +129,7 @@
   HttpRequestParser& me = self(parser);
   me.done_ = true;
   me.keeps_connection_ = http_should_keep_alive(parser) != 0;
-  // What follows belongs to the next request.
+  // The following bytes belong to the next request.
   http_parser_pause(parser, 1);
   return 0;
 }
@@ -137,21 +137,21 @@
 bool HttpRequestParser::headersAreValid() {
   std::size_t hosts = 0;
   std::size_t codings = 0;
-  bool coding_known = true;
+  bool codings_supported = true;
   for (const HttpHeader& header : request_.headers) {
     if (sameHeaderName(header.name, "host")) {
       ++hosts;
     } else if (sameHeaderName(header.name, "transfer-encoding")) {
       ++codings;
-      coding_known = coding_known && sameHeaderName(header.value, "chunked");
+      codings_supported = codings_supported && sameHeaderName(header.value, "chunked");
     } else if (sameHeaderName(header.name, "expect")) {
       expects_continue_ = sameHeaderName(header.value, "100-continue");
     }
   }
-  const bool host_right = hosts == 1 || (hosts == 0 && parser_.http_major == 1 && parser_.http_minor == 0);
-  const bool version_right = parser_.http_major == 1 && parser_.http_minor <= 1;
-  const bool target_right = !request_.target.empty() && request_.target.front() == '/';
-  if (!host_right || !version_right || !target_right || codings > 1 || !coding_known || parser_.upgrade != 0) {
+  const bool host_valid = hosts == 1 || (hosts == 0 && parser_.http_major == 1 && parser_.http_minor == 0);
+  const bool version_valid = parser_.http_major == 1 && parser_.http_minor <= 1;
+  const bool target_valid = !request_.target.empty() && request_.target.front() == '/';
+  if (!host_valid || !version_valid || !target_valid || codings > 1 || !codings_supported || parser_.upgrade != 0) {
     return false;
   }
   eraseConnectionHeaders(request_.headers);
@@ -160,9 +160,9 @@
 
 HttpRequestParseStatus HttpRequestParser::consume(evbuffer* input) {
   if (!headers_done_) {
-    const HttpRequestParseStatus progress = takeHeaders(input);
-    if (progress != HttpRequestParseStatus::InBody) {
-      return progress;
+    const HttpRequestParseStatus status = takeHeaders(input);
+    if (status != HttpRequestParseStatus::InBody) {
+      return status;
     }
   }
   return takeBody(input);
@@ -179,18 +179,18 @@
     return HttpRequestParseStatus::HeadersTooLarge;
   }
   if (end.pos < 0) {
-    // A line without its CR is refused now: an end of headers that another parser sees must not be waited past.
-    const auto* begun = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
-    return linesAreSound({begun, size}) ? HttpRequestParseStatus::InHeaders : HttpRequestParseStatus::Invalid;
+    // A bare line feed is rejected before the headers are complete, because another parser may already see their end.
+    const auto* partial = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
+    return linesAreValid({partial, size}) ? HttpRequestParseStatus::InHeaders : HttpRequestParseStatus::Invalid;
   }
   const auto* text = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
   const std::string_view block(text, size);
-  if (!linesAreSound(block) || !namesAreSound(block)) {
+  if (!linesAreValid(block) || !colonsAreValid(block)) {
     return HttpRequestParseStatus::Invalid;
   }
-  const std::size_t taken = http_parser_execute(&parser_, &settings(), text, size);
+  const std::size_t consumed = http_parser_execute(&parser_, &settings(), text, size);
   const bool stopped_at_end = done_ && HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED;
-  if (!headers_done_ || (!stopped_at_end && (taken != size || HTTP_PARSER_ERRNO(&parser_) != HPE_OK))) {
+  if (!headers_done_ || (!stopped_at_end && (consumed != size || HTTP_PARSER_ERRNO(&parser_) != HPE_OK))) {
     return HttpRequestParseStatus::Invalid;
   }
   evbuffer_drain(input, size);
@@ -201,7 +201,7 @@
   while (!done_ && evbuffer_get_length(input) > 0) {
     const std::size_t size = evbuffer_get_contiguous_space(input);
     const auto* text = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
-    const std::size_t taken = http_parser_execute(&parser_, &settings(), text, size);
+    const std::size_t consumed = http_parser_execute(&parser_, &settings(), text, size);
     if (body_too_large_) {
       return HttpRequestParseStatus::BodyTooLarge;
     }
@@ -209,7 +209,7 @@
     if (error != HPE_OK && !(done_ && error == HPE_PAUSED)) {
       return HttpRequestParseStatus::Invalid;
     }
-    evbuffer_drain(input, taken);
+    evbuffer_drain(input, consumed);
   }
   return done_ ? HttpRequestParseStatus::Complete : HttpRequestParseStatus::InBody;
 }
--- a/source/net/request_parser.h
+++ b/source/net/request_parser.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Reads HTTP/1.1 requests from a buffer. Strict: see strict_http_server.h.
+/// An incremental, strict parser for HTTP/1.1 requests. See strict_http_server.h.
 
 #include <http_parser.h>
 
@@ -16,29 +16,32 @@
 namespace shedlever {
 
 enum class HttpRequestParseStatus : std::uint8_t {
-  Empty,            ///< no byte of a request yet
-  InHeaders,        ///< begun
-  InBody,           ///< headers are in
-  Complete,         ///< whole; `takeRequest` gives it
-  Invalid,          ///< 400
-  HeadersTooLarge,  ///< 431
-  BodyTooLarge,     ///< 413
+  Empty,            ///< no byte of a request received
+  InHeaders,        ///< the headers are incomplete
+  InBody,           ///< the headers are complete, the body is not
+  Complete,         ///< `takeRequest` returns the request
+  Invalid,          ///< respond with status 400
+  HeadersTooLarge,  ///< respond with status 431
+  BodyTooLarge,     ///< respond with status 413
 };
 
+/// Parses one request.
 class HttpRequestParser {
  public:
+  /// @param header_limit request line and headers together, in bytes.
+  /// @param body_limit in bytes.
   HttpRequestParser(std::size_t header_limit, std::size_t body_limit);
 
-  /// Takes as much from the buffer as belongs to the request.
+  /// Removes the bytes from the buffer that belong to the request.
   HttpRequestParseStatus consume(evbuffer* input);
 
-  /// The request, after Complete; headers that frame it are left out.
+  /// Moves the request out. Valid after Complete. Framing headers are left out.
   HttpRequest takeRequest() { return std::move(request_); }
 
-  /// @return whether the client keeps the connection open; after Complete.
+  /// @return whether the client keeps the connection open. Valid after Complete.
   bool keepsConnection() const { return keeps_connection_; }
 
-  /// @return whether the client waits for "100 Continue", once.
+  /// @return true once if the client waits for "100 Continue".
   bool takeExpectsContinue() { return std::exchange(expects_continue_, false); }
 
  private:
--- a/source/net/router_codec.cc
+++ b/source/net/router_codec.cc
@@ -13,7 +13,7 @@
 template <class Enum>
 Enum checkedEnum(std::uint8_t number, Enum last) {
   if (number > static_cast<std::uint8_t>(last)) {
-    throw cereal::Exception("unknown value of an enumeration");
+    throw cereal::Exception("unknown enumeration value");
   }
   return static_cast<Enum>(number);
 }
@@ -49,7 +49,7 @@
     CompactInputArchive archive(bytes);
     archive(frame);
     if (!archive.atEnd()) {
-      return leaf::new_error(DecodeError{"bytes behind the frame"});
+      return leaf::new_error(DecodeError{"unexpected bytes after the frame"});
     }
     return frame;
   } catch (const std::exception& error) {
--- a/source/net/router_codec.h
+++ b/source/net/router_codec.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Frames between router processes to bytes and back.
+/// Encoding of the frames between router processes.
 
 #include <string>
 #include <string_view>
@@ -11,12 +11,12 @@
 
 namespace shedlever {
 
-/// First word on every stream between router processes; raised with each change of the encoding.
+/// The preface of every stream between router processes. Must change with every change of the encoding.
 inline constexpr std::uint32_t kRouterPreface = 0x53'4C'52'05;
 
 std::string encodeRouterFrame(const RouterFrame& frame);
 
-/// @return the frame, or a DecodeError for what `encodeRouterFrame` can't have written.
+/// @return the frame, or a DecodeError for bytes that `encodeRouterFrame` can't have produced.
 leaf::result<RouterFrame> decodeRouterFrame(std::string_view bytes);
 
 }  // namespace shedlever
--- a/source/net/socket_address.cc
+++ b/source/net/socket_address.cc
@@ -72,11 +72,12 @@
   setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 }
 
-void setDeadPeerTimeout(evutil_socket_t socket, Duration limit) {
+void setDeadPeerTimeout(evutil_socket_t socket, Duration timeout) {
   constexpr int kProbes = 3;
   const int on = 1;
-  const auto milliseconds = static_cast<unsigned>(std::chrono::duration_cast<std::chrono::milliseconds>(limit).count());
-  const auto seconds = static_cast<int>(std::chrono::duration_cast<std::chrono::seconds>(limit).count());
+  const auto milliseconds =
+      static_cast<unsigned>(std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count());
+  const auto seconds = static_cast<int>(std::chrono::duration_cast<std::chrono::seconds>(timeout).count());
   const int probe_seconds = std::max(1, seconds / (kProbes + 1));
   setsockopt(socket, SOL_SOCKET, SO_KEEPALIVE, &on, sizeof(on));
   setsockopt(socket, IPPROTO_TCP, TCP_KEEPIDLE, &probe_seconds, sizeof(probe_seconds));
--- a/source/net/socket_address.h
+++ b/source/net/socket_address.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Endpoints to socket addresses and back.
+/// Conversion between endpoints and socket addresses, and TCP socket options.
 
 #include <sys/socket.h>
 
@@ -13,7 +13,6 @@
 
 namespace shedlever {
 
-/// A socket address with its length.
 struct SocketAddress {
   sockaddr_storage storage{};
   socklen_t length = 0;
@@ -22,23 +21,24 @@
   const sockaddr* get() const { return reinterpret_cast<const sockaddr*>(&storage); }
 };
 
-/// @return the address; nothing unless the endpoint's address is an IPv4 or IPv6 address.
+/// @return the socket address, or nothing when the endpoint has no valid IPv4 or IPv6 address.
 std::optional<SocketAddress> toSocketAddress(const Endpoint& endpoint);
 
-/// @return the endpoint of an IPv4 or IPv6 address; empty for others. IPv4 mapped into IPv6 becomes IPv4.
+/// @return the endpoint of an IPv4 or IPv6 address; empty for other families. An IPv4-mapped IPv6 address becomes an
+///   IPv4 address.
 Endpoint toEndpoint(const sockaddr* address);
 
 /// @return the endpoint that the socket is bound to; empty on failure.
 Endpoint localEndpoint(evutil_socket_t socket);
 
-/// @return the endpoint at the other end of a connected socket; empty on failure.
+/// @return the remote endpoint of a connected socket; empty on failure.
 Endpoint remoteEndpoint(evutil_socket_t socket);
 
-/// Turns off Nagle's delay.
+/// Disables Nagle's algorithm (TCP_NODELAY).
 void setNoDelay(evutil_socket_t socket);
 
-/// Breaks the connection when the other end has acknowledged nothing for about this long, whether or not something
-/// is being sent. Else, after a partition, the kernel's own repeats come minutes apart.
-void setDeadPeerTimeout(evutil_socket_t socket, Duration limit);
+/// Makes the kernel close the connection when the other side has acknowledged nothing for about this time, also while
+/// the connection is idle. The default retransmission timeouts would detect a network partition only after minutes.
+void setDeadPeerTimeout(evutil_socket_t socket, Duration timeout);
 
 }  // namespace shedlever
--- a/source/net/strict_http_server.cc
+++ b/source/net/strict_http_server.cc
@@ -23,10 +23,10 @@
 constexpr int kHeadersTooLarge = 431;
 constexpr int kNoContent = 204;
 constexpr int kNotModified = 304;
-/// Bytes read ahead of the request that is being answered.
-constexpr std::size_t kReadAhead = 256U << 10U;
-/// How long a connection that is being closed waits for the client to close too.
-constexpr Duration kLinger = std::chrono::seconds(1);
+/// Limit for pipelined input that is read while a response is pending.
+constexpr std::size_t kMaxReadAheadBytes = 256U << 10U;
+/// How long a connection waits for the client to close after the server has shut down writing.
+constexpr Duration kLingerTimeout = std::chrono::seconds(1);
 
 const char* reasonPhrase(int status) { return http_status_str(static_cast<http_status>(status)); }
 
@@ -46,7 +46,7 @@
   EventLoop& loop;
   StrictHttpLimits limits;
   StrictHttpHandler handler;
-  std::function<void(int status)> refused;
+  std::function<void(int status)> on_rejected;
   std::unique_ptr<TcpListener> listener;
   std::unordered_map<StrictHttpConnection*, std::shared_ptr<StrictHttpConnection>> connections;
   bool close_after_responses = false;
@@ -54,13 +54,13 @@
   LinkPacer* pacer = nullptr;
 };
 
-/// One client connection; one request at a time.
+/// One client connection with one request at a time.
 class StrictHttpConnection : public std::enable_shared_from_this<StrictHttpConnection> {
  public:
   StrictHttpConnection(StrictHttpServer::State& server, evutil_socket_t socket)
       : server_(server), stream_(bufferevent_socket_new(server.loop.base(), socket, BEV_OPT_CLOSE_ON_FREE)) {
     bufferevent_setcb(stream_.get(), onRead, onWritten, onEvent, this);
-    bufferevent_setwatermark(stream_.get(), EV_READ, 0, kReadAhead);
+    bufferevent_setwatermark(stream_.get(), EV_READ, 0, kMaxReadAheadBytes);
     startRequest();
     bufferevent_enable(stream_.get(), EV_READ | EV_WRITE);
   }
@@ -87,7 +87,7 @@
     responseWritten(keep);
   }
 
-  /// The answer is written, or in the buffers.
+  /// Called when the response is written or in the output buffer.
   void responseWritten(bool keep) {
     if (!keep) {
       closing_ = true;
@@ -95,7 +95,7 @@
       return;
     }
     startRequest();
-    // The next request may be there already; its handler must not run inside this call.
+    // The next request may already be in the input buffer. Its handler must not run inside this call.
     if (evbuffer_get_length(bufferevent_get_input(stream_.get())) > 0) {
       server_.loop.post([weak = weak_from_this()] {
         if (const auto self = weak.lock()) {
@@ -112,9 +112,9 @@
     }
   }
 
-  void onDisconnect(std::uint64_t number, std::function<void()> gone) {
+  void onDisconnect(std::uint64_t number, std::function<void()> callback) {
     if (number == request_number_ && response_pending_) {
-      on_disconnect_ = std::move(gone);
+      on_disconnect_ = std::move(callback);
     }
   }
 
@@ -173,8 +173,8 @@
     if (response_pending_ || sending_) {
       return;
     }
-    const HttpRequestParseStatus progress = parser_->consume(bufferevent_get_input(stream_.get()));
-    switch (progress) {
+    const HttpRequestParseStatus status = parser_->consume(bufferevent_get_input(stream_.get()));
+    switch (status) {
       case HttpRequestParseStatus::Empty:
         return;
       case HttpRequestParseStatus::InHeaders:
@@ -202,7 +202,7 @@
     }
   }
 
-  /// The headers have so long in all, however slowly their bytes come.
+  /// Limits the total time for the headers, so that a slow client can't hold the connection.
   void startHeaderTimer() {
     server_.loop.runAfter(server_.limits.header_timeout, [weak = weak_from_this(), number = request_number_] {
       const auto self = weak.lock();
@@ -242,30 +242,30 @@
            response.body.size() >= kMinPacedMessageBytes;
   }
 
-  /// Writes the head at once and the body piece by piece; the next request is read after the last one.
+  /// Writes the head immediately and the body in pieces. The next request is read after the last piece.
   void writePaced(HttpResponse response, bool keep) {
     sending_ = true;
     body_ = std::move(response.body);
     body_written_ = 0;
-    const std::string head = headOf(response, body_.size(), keep);
+    const std::string head = responseHead(response, body_.size(), keep);
     evbuffer_add(bufferevent_get_output(stream_.get()), head.data(), head.size());
-    const auto writer = [weak = weak_from_this(), keep](std::size_t most) {
+    const auto writer = [weak = weak_from_this(), keep](std::size_t max_bytes) {
       const auto self = weak.lock();
-      return self ? self->writePiece(most, keep) : 0;
+      return self ? self->writePiece(max_bytes, keep) : 0;
     };
     const TransferId transfer = server_.pacer->start(body_.size(), writer);
     transfer_ = body_.empty() ? 0 : transfer;
   }
 
-  std::size_t writePiece(std::size_t most, bool keep) {
-    const std::size_t size = std::min(most, body_.size() - body_written_);
+  std::size_t writePiece(std::size_t max_bytes, bool keep) {
+    const std::size_t size = std::min(max_bytes, body_.size() - body_written_);
     evbuffer_add(bufferevent_get_output(stream_.get()), body_.data() + body_written_, size);
     flushOutput(stream_.get());
     body_written_ += size;
     if (body_written_ == body_.size()) {
       transfer_ = 0;
       body_ = {};
-      // The pacer is at work: what follows may end this connection or start the next answer.
+      // Not inside the pacer's call, because responseWritten may close this connection or start the next response.
       server_.loop.post([weak = weak_from_this(), keep] {
         if (const auto self = weak.lock()) {
           self->sending_ = false;
@@ -276,7 +276,7 @@
     return size;
   }
 
-  static std::string headOf(const HttpResponse& response, std::size_t body_size, bool keep) {
+  static std::string responseHead(const HttpResponse& response, std::size_t body_size, bool keep) {
     std::string head = "HTTP/1.1 " + std::to_string(response.status) + " " + reasonPhrase(response.status) + "\r\n";
     for (const HttpHeader& header : response.headers) {
       if (!isFramingHeader(header.name)) {
@@ -291,7 +291,7 @@
   }
 
   void write(HttpResponse response, bool keep) {
-    std::string head = headOf(response, response.body.size(), keep);
+    std::string head = responseHead(response, response.body.size(), keep);
     if (server_.pacer != nullptr) {
       server_.pacer->recordSent(head.size() + response.body.size());
     }
@@ -303,11 +303,11 @@
     flushOutput(stream_.get());
   }
 
-  /// Answers what can't be handed over, and reads no further.
+  /// Responds to an invalid request without calling the handler, and stops reading.
   void rejectRequest(int status) {
     is_head_ = false;
-    if (server_.refused) {
-      server_.refused(status);
+    if (server_.on_rejected) {
+      server_.on_rejected(status);
     }
     write({status, {}, {}}, false);
     closing_ = true;
@@ -324,39 +324,39 @@
 
   void connectionClosed() {
     if (response_pending_) {
-      std::function<void()> tell = std::move(on_disconnect_);
+      std::function<void()> callback = std::move(on_disconnect_);
       endPending();
-      if (tell) {
-        server_.loop.post(std::move(tell));
+      if (callback) {
+        server_.loop.post(std::move(callback));
       }
     }
     remove();
   }
 
-  /// Once all is written, says so and waits for the client's end: closing with unread bytes would reset the connection
-  /// and could take the answer with it.
+  /// After the output is written, shuts down writing and waits for the client to close. Closing a socket with unread
+  /// input would reset the connection and could discard the response.
   void finishClosing() {
     if (evbuffer_get_length(bufferevent_get_output(stream_.get())) > 0) {
       return;
     }
     shutdown(bufferevent_getfd(stream_.get()), SHUT_WR);
-    setReadTimeout(kLinger);
+    setReadTimeout(kLingerTimeout);
   }
 
   StrictHttpServer::State& server_;
   BufferEventHandle stream_;
   std::optional<HttpRequestParser> parser_;
   std::function<void()> on_disconnect_;
-  /// Numbers the requests of this connection.
+  /// The number of the current request on this connection.
   std::uint64_t request_number_ = 1;
-  /// Some bytes of a request have come.
+  /// At least one byte of a request was received.
   bool in_request_ = false;
   bool headers_received_ = false;
-  /// A request was handed over and waits for its answer.
+  /// The handler has a request without a response.
   bool response_pending_ = false;
   bool closing_ = false;
   bool is_head_ = false;
-  /// A large answer is being written piece by piece.
+  /// A large response is being written in pieces.
   bool sending_ = false;
   TransferId transfer_ = 0;
   std::string body_;
@@ -375,9 +375,9 @@
   }
 }
 
-void StrictHttpResponder::onDisconnect(std::function<void()> gone) const {
+void StrictHttpResponder::onDisconnect(std::function<void()> callback) const {
   if (const auto connection = connection_.lock()) {
-    connection->onDisconnect(request_number_, std::move(gone));
+    connection->onDisconnect(request_number_, std::move(callback));
   }
 }
 
@@ -405,7 +405,9 @@
 
 void StrictHttpServer::setLimits(const StrictHttpLimits& limits) { state_->limits = limits; }
 
-void StrictHttpServer::onRejected(std::function<void(int status)> refused) { state_->refused = std::move(refused); }
+void StrictHttpServer::onRejected(std::function<void(int status)> callback) {
+  state_->on_rejected = std::move(callback);
+}
 
 void StrictHttpServer::closeAfterResponses() { state_->close_after_responses = true; }
 
--- a/source/net/strict_http_server.h
+++ b/source/net/strict_http_server.h
@@ -1,11 +1,11 @@
 #pragma once
 
 /// @file
-/// An HTTP/1.1 server for clients that are not trusted to frame their requests well. What two parsers could read
-/// differently is refused with 400, the connection is closed, and nothing behind it is read.
+/// An HTTP/1.1 server for untrusted clients, which protects against request smuggling. A request that two parsers could
+/// interpret differently is answered with status 400; the connection is closed and nothing more is read from it.
 ///
-/// It stands on bufferevents and the http_parser library and not on evhttp, which (2.1.12) takes two lengths, a blank
-/// before a colon, signs in lengths, folded lines and bare line feeds, and so lets a second request hide in a first.
+/// The server uses bufferevents and the http_parser library instead of evhttp. The latter (2.1.12) accepts duplicate
+/// Content-Length headers, a blank before the colon, signs in lengths, folded lines and bare line feeds.
 
 #include <cstddef>
 #include <functional>
@@ -20,44 +20,45 @@
 namespace shedlever {
 
 struct StrictHttpLimits {
-  /// Request line and headers together.
+  /// Limit for request line and headers together.
   std::size_t header_bytes = 16U << 10U;
   std::size_t body_bytes = 64U << 20U;
-  /// From the first byte of a request to the end of its headers.
+  /// Limit for the time from the first byte of a request to the end of its headers.
   Duration header_timeout = std::chrono::seconds(3);
-  /// A connection without a request is closed after this long.
+  /// A connection without a request is closed after this time.
   Duration idle_timeout = std::chrono::seconds(15);
 };
 
 class StrictHttpConnection;
 
-/// Answers one request, now or later. Copies name the same request. Does nothing once the client is gone, or the
-/// server destroyed.
+/// Responds to one request, immediately or later. Copies refer to the same request. All calls do nothing after the
+/// client disconnected or the server was destroyed.
 class StrictHttpResponder {
  public:
-  explicit StrictHttpResponder(std::weak_ptr<StrictHttpConnection> connection, std::uint64_t number)
-      : connection_(std::move(connection)), request_number_(number) {}
+  explicit StrictHttpResponder(std::weak_ptr<StrictHttpConnection> connection, std::uint64_t request_number)
+      : connection_(std::move(connection)), request_number_(request_number) {}
 
-  /// Sends the answer with its length. Headers that frame the message are left out.
+  /// Sends the response with Content-Length. Framing headers of the response are left out.
   void reply(HttpResponse response) const;
 
-  /// Ends the connection without an answer.
+  /// Closes the connection without a response.
   void abort() const;
 
-  /// @param gone runs once from the loop if the client goes away before it has been answered.
-  void onDisconnect(std::function<void()> gone) const;
+  /// @param callback runs once from the loop if the client disconnects before the response.
+  void onDisconnect(std::function<void()> callback) const;
 
  private:
   std::weak_ptr<StrictHttpConnection> connection_;
   std::uint64_t request_number_;
 };
 
-using StrictHttpHandler = std::function<void(HttpRequest request, StrictHttpResponder replier)>;
+using StrictHttpHandler = std::function<void(HttpRequest request, StrictHttpResponder responder)>;
 
-/// Listens on one address. Requests that come pipelined are handed over one after the other.
+/// Listens on one address. Pipelined requests are passed to the handler one at a time.
 class StrictHttpServer {
  public:
-  /// @param pacer writes large answers at the pace of the machine's link; null: all are written at once.
+  /// @param listen port 0 selects a free port.
+  /// @param pacer paces large responses to the rate of the machine's link. May be null.
   /// @return the server, or a NetworkError.
   static leaf::result<std::unique_ptr<StrictHttpServer>> listen(EventLoop& loop, const Endpoint& listen,
                                                                 const StrictHttpLimits& limits,
@@ -66,25 +67,27 @@
   StrictHttpServer(const StrictHttpServer&) = delete;
   StrictHttpServer& operator=(const StrictHttpServer&) = delete;
 
+  /// @return the address and port that the server listens on.
   const Endpoint& endpoint() const;
 
-  /// For requests that begin from now on.
+  /// Applies to requests that begin after the call.
   void setLimits(const StrictHttpLimits& limits);
 
-  /// @param refused runs with the status of each answer to what could not be handed over.
-  void onRejected(std::function<void(int status)> refused);
+  /// @param callback runs for each request that is rejected without calling the handler, with the response status.
+  void onRejected(std::function<void(int status)> callback);
 
-  /// Every answer from now on closes its connection.
+  /// From now on each connection is closed after its next response.
   void closeAfterResponses();
 
-  /// Closes connections that rest between requests.
+  /// Closes the connections that have neither a request nor an unwritten response.
   void closeIdleConnections();
 
-  /// @return connections whose request is not answered, or whose answer is not written whole, or not taken yet by a
-  ///   client that the connection is closed to. A process that ends with any would cut an answer.
+  /// @return the number of connections with a pending response, with response bytes that are not written yet, or that
+  ///   wait for the client to close. If the process exits while there are any, a client may receive a truncated
+  ///   response.
   std::size_t busyConnections() const;
 
-  /// @return requests that were handed over and not answered.
+  /// @return the number of requests that were passed to the handler and have no response yet.
   std::size_t inFlightRequests() const;
 
   struct State;
--- a/source/net/system_sources.h
+++ b/source/net/system_sources.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// The time and the random numbers of the machine. Simulators and tests use their own.
+/// The machine's clocks and random numbers. Simulators and tests use their own implementations.
 
 #include <random>
 
@@ -9,13 +9,13 @@
 
 namespace shedlever {
 
-/// Reads CLOCK_BOOTTIME, which counts on while the machine is suspended.
+/// Reads CLOCK_BOOTTIME, which also advances while the machine is suspended.
 class BootTimeClock final : public Clock {
  public:
   TimePoint now() const override;
 };
 
-/// A generator seeded from the operating system. Not for secrets.
+/// A generator seeded by the operating system. Not for cryptographic use.
 class SystemRandom final : public RandomSource {
  public:
   SystemRandom();
@@ -25,7 +25,7 @@
   std::mt19937_64 generator_;
 };
 
-/// @return microseconds of wall-clock time, as an Incarnation is made of.
+/// @return the wall-clock time in microseconds since the Unix epoch. Used to create an Incarnation.
 std::uint64_t wallClockMicroseconds();
 
 }  // namespace shedlever
--- a/source/net/tcp_listener.h
+++ b/source/net/tcp_listener.h
@@ -11,18 +11,18 @@
 
 namespace shedlever {
 
-/// A listening socket. Accepted sockets are non-blocking and have Nagle's delay turned off.
+/// A listening socket. Accepted sockets are non-blocking and have Nagle's algorithm disabled.
 class TcpListener {
  public:
-  /// @param accepted takes over the socket.
+  /// Takes ownership of the accepted socket.
   using AcceptCallback = std::function<void(evutil_socket_t socket, const Endpoint& peer)>;
 
-  /// @param listen port 0 takes a free one.
+  /// @param listen port 0 selects a free port.
   /// @return the listener, or a NetworkError.
   static leaf::result<std::unique_ptr<TcpListener>> open(EventLoop& loop, const Endpoint& listen,
                                                          AcceptCallback accepted);
 
-  /// @return where it listens, with the port in use.
+  /// @return the address and port that the listener is bound to.
   const Endpoint& endpoint() const { return endpoint_; }
 
  private:
--- a/source/net/text_file.h
+++ b/source/net/text_file.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Files that are read whole: settings and scenarios.
+/// Reads complete text files, such as settings and scenarios.
 
 #include <string>
 
@@ -9,7 +9,7 @@
 
 namespace shedlever {
 
-/// @return the file's bytes, or Findings with the path when it can't be read.
+/// @return the content of the file, or Findings with the path when the file can't be read.
 leaf::result<std::string> readTextFile(const std::string& path);
 
 }  // namespace shedlever
--- a/test/cli/cli_bench.h
+++ b/test/cli/cli_bench.h
@@ -1,7 +1,7 @@
 #pragma once
 
 /// @file
-/// Runs `shedlever` commands against a store in memory and routers made of functions.
+/// Runs `shedlever` commands with an in-memory store and fake routers.
 
 #include <filesystem>
 #include <fstream>
@@ -15,17 +15,17 @@
 
 namespace shedlever::test {
 
-/// Answers one call: method and target.
+/// Responds to a call with method and target.
 using FakeRouter = std::function<OperatorResponse(const std::string&, const std::string&)>;
 
-/// How a command ended and what it printed.
+/// The exit code and the output of a command.
 struct CommandResult {
   ExitCode code;
   std::string out;
   std::string err;
 };
 
-/// The world of the commands; waits end as soon as nothing else is to happen.
+/// The environment of the commands. A wait ends when the event queue is empty.
 class CliFixture final : public OperatorClient, public RetryTimer {
  public:
   CliFixture() : store(queue) {}
@@ -41,7 +41,7 @@
 
   void runAfter(Duration, std::function<void()> callback) override { queue.post(std::move(callback)); }
 
-  /// @param line words of the command line, parted by blanks.
+  /// @param line the command line, with words separated by blanks.
   CommandResult run(const std::string& line) {
     std::istringstream stream(line);
     const std::vector<std::string> words{std::istream_iterator<std::string>(stream), {}};
@@ -53,7 +53,7 @@
     return {code, out.str(), err.str()};
   }
 
-  /// Writes a document into a folder that belongs to this bench. @return its path.
+  /// Writes a document into the folder of the current test. @return its path.
   std::string file(const std::string& name, const std::string& text) {
     const std::filesystem::path path = folder() / (name + ".json");
     std::filesystem::create_directories(path.parent_path());
@@ -73,22 +73,22 @@
  private:
   class Ports final : public CliPorts {
    public:
-    explicit Ports(CliFixture& bench) : bench_(bench) {}
-    ObjectStore& store() override { return bench_.store; }
-    OperatorClient& operators() override { return bench_; }
-    RetryTimer& timer() override { return bench_; }
+    explicit Ports(CliFixture& fixture) : fixture_(fixture) {}
+    ObjectStore& store() override { return fixture_.store; }
+    OperatorClient& operators() override { return fixture_; }
+    RetryTimer& timer() override { return fixture_; }
     bool runUntil(const std::function<bool()>& done) override {
-      while (!done() && !bench_.queue.empty()) {
-        bench_.queue.run(0);
+      while (!done() && !fixture_.queue.empty()) {
+        fixture_.queue.run(0);
       }
       return done();
     }
     std::string currentTime() override { return "2026-12-02T08:00:00Z"; }
-    std::string newChangeId() override { return "change-" + std::to_string(++bench_.changes_); }
+    std::string newChangeId() override { return "change-" + std::to_string(++fixture_.changes_); }
     std::string userName() override { return "tester"; }
 
    private:
-    CliFixture& bench_;
+    CliFixture& fixture_;
   };
 
   int changes_ = 0;
--- a/test/cli/examples_test.cc
+++ b/test/cli/examples_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The example deployments and the settings reference in docs/ are right.
+/// Validates the example deployments and compares docs/SETTINGS.md with the settings reference.
 
 #include <gtest/gtest.h>
 
@@ -17,7 +17,7 @@
 
 const std::string kRoot = SHEDLEVER_SOURCE_FOLDER;
 
-/// One example and what must hold of it.
+/// An example deployment and its expected services.
 struct ExampleCase {
   const char* folder;
   std::vector<std::string> services;
@@ -38,14 +38,14 @@
   }
   EXPECT_TRUE(findings.empty()) << toString(findings);
   return leaf::try_handle_all([&] { return resolveSettings(documents); },
-                              [](const Findings& wrong) {
-                                ADD_FAILURE() << toString(wrong);
+                              [](const Findings& errors) {
+                                ADD_FAILURE() << toString(errors);
                                 return DeploymentSettings{};
                               },
                               [] { return DeploymentSettings{}; });
 }
 
-TEST(Examples, DocumentsResolve) {
+TEST(Examples, DocumentsResolveToTheExpectedServices) {
   for (const ExampleCase& example : exampleCases()) {
     SCOPED_TRACE(example.folder);
     const DeploymentSettings settings = resolveFolder(kRoot + "/examples/" + example.folder);
@@ -61,7 +61,7 @@
   }
 }
 
-TEST(Examples, ProcessSettingsAreRight) {
+TEST(Examples, ProcessSettingsAreValid) {
   std::size_t files = 0;
   for (const ExampleCase& example : exampleCases()) {
     for (const auto& entry :
@@ -78,7 +78,7 @@
   EXPECT_EQ(files, 2U);
 }
 
-TEST(Examples, ReferencePageIsWhatTheProgramPrints) {
+TEST(Examples, SettingsPageEqualsTheSettingsReference) {
   std::ifstream file(kRoot + "/docs/SETTINGS.md");
   std::ostringstream page;
   page << file.rdbuf();
--- a/test/net/event_loop_test.cc
+++ b/test/net/event_loop_test.cc
@@ -14,20 +14,20 @@
 namespace shedlever::test {
 namespace {
 
-TEST(EventLoopTest, RunsWhatIsDueInOrderAndNothingThatWasTakenBack) {
+TEST(EventLoopTest, CallbacksRunInOrderAndCancelledTimersDoNotRun) {
   EventLoop loop;
   std::string order;
-  TimerId taken_back = 0;
+  TimerId cancelled = 0;
   loop.runAfter(std::chrono::milliseconds(20), [&] {
     order += "d";
     loop.stop();
   });
   loop.runAfter(std::chrono::milliseconds(10), [&] {
     order += "c";
-    loop.cancel(taken_back);
+    loop.cancel(cancelled);
     loop.cancel(0);
   });
-  taken_back = loop.runAfter(std::chrono::milliseconds(15), [&] { order += "x"; });
+  cancelled = loop.runAfter(std::chrono::milliseconds(15), [&] { order += "x"; });
   loop.post([&] {
     order += "a";
     loop.post([&] { order += "b"; });
@@ -38,19 +38,19 @@
   EXPECT_EQ(order, "abcd");
 }
 
-TEST(EventLoopTest, TellsSignalsInTheLoop) {
+TEST(EventLoopTest, SignalCallbacksRunFromTheLoop) {
   EventLoop loop;
-  int arrived = 0;
-  loop.onSignal(SIGTERM, [&] { ++arrived; });
+  int received = 0;
+  loop.onSignal(SIGTERM, [&] { ++received; });
   raise(SIGTERM);
-  EXPECT_EQ(arrived, 0);
-  EXPECT_TRUE(loop.runUntil([&] { return arrived == 1; }, kTestCap));
+  EXPECT_EQ(received, 0);
+  EXPECT_TRUE(loop.runUntil([&] { return received == 1; }, kTestCap));
   raise(SIGTERM);
-  EXPECT_TRUE(loop.runUntil([&] { return arrived == 2; }, kTestCap));
+  EXPECT_TRUE(loop.runUntil([&] { return received == 2; }, kTestCap));
   EXPECT_FALSE(loop.runUntil([] { return false; }, Duration::zero()));
 }
 
-TEST(SystemSourcesTest, ClocksAdvanceAndRandomNumbersDiffer) {
+TEST(SystemClockAndRandomTest, ClocksAdvanceAndRandomNumbersDiffer) {
   const BootTimeClock clock;
   const TimePoint before = clock.now();
   EXPECT_GE(clock.now(), before);
@@ -60,7 +60,7 @@
   EXPECT_NE(first.next(), second.next());
 }
 
-TEST(MetricsTextTest, IsPrometheusText) {
+TEST(MetricsTextTest, RegistryIsWrittenInPrometheusFormat) {
   prometheus::Registry registry;
   auto& family = prometheus::BuildCounter().Name("shedlever_requests_total").Help("Requests.").Register(registry);
   family.Add({{"outcome", "not-run"}}).Increment(3);
--- a/test/net/file_version_test.cc
+++ b/test/net/file_version_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Changes of a file are noticed without notifications.
+/// Changes of a file are detected by polling.
 
 #include "source/net/file_version.h"
 
@@ -27,37 +27,37 @@
   std::filesystem::path path_;
 };
 
-TEST_F(FileChangeDetectorTest, FileThatStaysHasNotChanged) {
+TEST_F(FileChangeDetectorTest, UntouchedFileHasNotChanged) {
   write(path_, "one");
-  FileChangeDetector version(path_);
-  EXPECT_FALSE(version.hasChanged());
-  EXPECT_FALSE(version.hasChanged());
+  FileChangeDetector detector(path_);
+  EXPECT_FALSE(detector.hasChanged());
+  EXPECT_FALSE(detector.hasChanged());
 }
 
-TEST_F(FileChangeDetectorTest, WrittenFileHasChangedOnce) {
+TEST_F(FileChangeDetectorTest, WriteIsReportedOnce) {
   write(path_, "one");
-  FileChangeDetector version(path_);
+  FileChangeDetector detector(path_);
   write(path_, "more");
-  EXPECT_TRUE(version.hasChanged());
-  EXPECT_FALSE(version.hasChanged());
+  EXPECT_TRUE(detector.hasChanged());
+  EXPECT_FALSE(detector.hasChanged());
 }
 
-TEST_F(FileChangeDetectorTest, ReplacedFileOfTheSameLengthHasChanged) {
+TEST_F(FileChangeDetectorTest, ReplacementOfTheSameLengthIsReported) {
   write(path_, "one");
-  FileChangeDetector version(path_);
+  FileChangeDetector detector(path_);
   const std::filesystem::path other = folder_ / "other";
   write(other, "two");
   std::filesystem::rename(other, path_);
-  EXPECT_TRUE(version.hasChanged());
+  EXPECT_TRUE(detector.hasChanged());
 }
 
-TEST_F(FileChangeDetectorTest, MissingFileHasNotChangedAndOneThatComesHas) {
-  FileChangeDetector version(path_);
-  EXPECT_FALSE(version.hasChanged());
+TEST_F(FileChangeDetectorTest, CreationIsReportedAndRemovalIsNot) {
+  FileChangeDetector detector(path_);
+  EXPECT_FALSE(detector.hasChanged());
   write(path_, "one");
-  EXPECT_TRUE(version.hasChanged());
+  EXPECT_TRUE(detector.hasChanged());
   std::filesystem::remove(path_);
-  EXPECT_FALSE(version.hasChanged());
+  EXPECT_FALSE(detector.hasChanged());
 }
 
 }  // namespace
--- a/test/net/fixed_seed_test.cc
+++ b/test/net/fixed_seed_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// The properties of this program draw from one fixed seed, unless RC_PARAMS gives another.
+/// Sets a fixed seed for the property tests of this program, unless RC_PARAMS is set.
 
 #include <cstdlib>
 
--- a/test/net/http_client_test.cc
+++ b/test/net/http_client_test.cc
@@ -33,19 +33,19 @@
   return result.value_or(HttpExchangeResult{});
 }
 
-/// What the server does with a whole request, what the client must say, and whether it may use the connection again.
-struct AnswerRow {
+/// The server's reaction to a request, the expected outcome, and whether the client may reuse the connection.
+struct ResponseCase {
   const char* name;
-  std::string answer;
+  std::string bytes;
   enum class Then { Keep, Finish, Reset } then;
   HttpExchangeStatus status;
   bool reused;
 };
 
-const std::vector<AnswerRow>& answerRows() {
-  using Then = AnswerRow::Then;
+const std::vector<ResponseCase>& responseCases() {
+  using Then = ResponseCase::Then;
   using Status = HttpExchangeStatus;
-  static const std::vector<AnswerRow> rows = {
+  static const std::vector<ResponseCase> rows = {
       {"whole", httpAnswer(200, "", "hello"), Then::Keep, Status::Complete, true},
       {"chunked", "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2;x=y\r\nlo\r\n0\r\n\r\n",
        Then::Keep, Status::Complete, true},
@@ -73,8 +73,8 @@
   return rows;
 }
 
-TEST(HttpClientTest, TellsWhatBecameOfEachRequest) {
-  for (const AnswerRow& row : answerRows()) {
+TEST(HttpClientTest, ReportsTheOutcomeOfEachExchange) {
+  for (const ResponseCase& row : responseCases()) {
     SCOPED_TRACE(row.name);
     EventLoop loop;
     ScriptedServer server(loop, [&row](ScriptedConnection& connection) {
@@ -82,10 +82,10 @@
         return;
       }
       connection.received.clear();
-      connection.write(row.answer);
-      if (row.then == AnswerRow::Then::Finish) {
+      connection.write(row.bytes);
+      if (row.then == ResponseCase::Then::Finish) {
         connection.finish();
-      } else if (row.then == AnswerRow::Then::Reset) {
+      } else if (row.then == ResponseCase::Then::Reset) {
         connection.reset();
       }
     });
@@ -100,7 +100,7 @@
   }
 }
 
-TEST(HttpClientTest, SaysNeverSentOnlyOnProof) {
+TEST(HttpClientTest, ReportsNotSentOnlyWhenNoByteWasSent) {
   EventLoop loop;
   HttpClient unreachable(loop, configFor(closedEndpoint(loop)));
   EXPECT_EQ(exchangeOnce(loop, unreachable).status, HttpExchangeStatus::NotSent);
@@ -128,7 +128,7 @@
       << "a cancelled connection is closed";
 }
 
-TEST(HttpClientTest, DoesNotUseAConnectionThatTheServerHasClosedMeanwhile) {
+TEST(HttpClientTest, DoesNotReuseAConnectionThatTheServerHasClosed) {
   EventLoop loop;
   ScriptedServer server(loop, [](ScriptedConnection& connection) {
     connection.received.clear();
@@ -136,39 +136,39 @@
   });
   HttpClient client(loop, configFor(server.endpoint()));
   EXPECT_EQ(exchangeOnce(loop, client).status, HttpExchangeStatus::Complete);
-  // No turn of the loop in between: only the kernel can tell.
+  // Without an iteration of the loop in between, only the kernel knows about the close.
   server.connection(0).finish();
   EXPECT_EQ(exchangeOnce(loop, client).status, HttpExchangeStatus::Complete);
   EXPECT_EQ(server.accepted(), 2U);
 }
 
-RC_GTEST_PROP(HttpResponseParserTest, ReadsTheSameHoweverTheBytesArrive, ()) {
-  const AnswerRow& row = answerRows()[*rc::gen::inRange<std::size_t>(0, answerRows().size())];
+RC_GTEST_PROP(HttpResponseParserTest, ResultDoesNotDependOnHowTheBytesAreSplit, ()) {
+  const ResponseCase& row = responseCases()[*rc::gen::inRange<std::size_t>(0, responseCases().size())];
   HttpResponseParser whole(1000, 1000, false);
   EventBuffer whole_input(evbuffer_new());
-  evbuffer_add(whole_input.get(), row.answer.data(), row.answer.size());
+  evbuffer_add(whole_input.get(), row.bytes.data(), row.bytes.size());
   const HttpResponseParseStatus expected = whole.consume(whole_input.get());
 
   HttpResponseParser parts(1000, 1000, false);
   EventBuffer input(evbuffer_new());
-  HttpResponseParseStatus progress = HttpResponseParseStatus::Incomplete;
+  HttpResponseParseStatus status = HttpResponseParseStatus::Incomplete;
   std::size_t at = 0;
-  while (at < row.answer.size() && progress == HttpResponseParseStatus::Incomplete) {
-    const std::size_t size = *rc::gen::inRange<std::size_t>(1, row.answer.size() - at + 1);
-    evbuffer_add(input.get(), row.answer.data() + at, size);
+  while (at < row.bytes.size() && status == HttpResponseParseStatus::Incomplete) {
+    const std::size_t size = *rc::gen::inRange<std::size_t>(1, row.bytes.size() - at + 1);
+    evbuffer_add(input.get(), row.bytes.data() + at, size);
     at += size;
-    progress = parts.consume(input.get());
+    status = parts.consume(input.get());
   }
-  RC_ASSERT(progress == expected);
+  RC_ASSERT(status == expected);
   if (expected == HttpResponseParseStatus::Complete) {
     RC_ASSERT(whole.takeResponse().body == parts.takeResponse().body);
   }
 }
 
-/// @return the limit that the kernel holds for unacknowledged bytes on this process's connection to the server.
+/// @return TCP_USER_TIMEOUT in milliseconds of this process's connection to the server.
 std::optional<unsigned> userTimeoutOfConnectionTo(const Endpoint& server) {
-  constexpr int kMostDescriptors = 1024;
-  for (int descriptor = 0; descriptor < kMostDescriptors; ++descriptor) {
+  constexpr int kMaxDescriptors = 1024;
+  for (int descriptor = 0; descriptor < kMaxDescriptors; ++descriptor) {
     if (remoteEndpoint(descriptor) != server) {
       continue;
     }
@@ -181,8 +181,8 @@
   return std::nullopt;
 }
 
-// A watch on a path that is cut silently would else wait for its answer to the end.
-TEST(HttpClientTest, NoticesADeadPeerWhileItWaits) {
+// Without the timeout, a request would wait for its whole timeout after a network partition.
+TEST(HttpClientTest, SetsTheDeadPeerTimeoutOnItsConnection) {
   EventLoop loop;
   ScriptedServer server(loop, [](ScriptedConnection&) {});
   HttpClientConfig config = configFor(server.endpoint());
--- a/test/net/http_server_test.cc
+++ b/test/net/http_server_test.cc
@@ -36,7 +36,7 @@
   std::unique_ptr<HttpClient> client_;
 };
 
-TEST_F(HttpServerTest, HandsOverEveryMethodWholeAndAnswersLater) {
+TEST_F(HttpServerTest, PassesEveryMethodToTheHandlerAndAcceptsADelayedResponse) {
   listen([this](HttpServerRequest request, HttpResponder responder) {
     loop_.post([request = std::move(request), responder]() mutable {
       responder.reply({207,
@@ -59,7 +59,7 @@
   EXPECT_EQ(client_->openConnections(), 1U);
 }
 
-TEST_F(HttpServerTest, MarksWhatIsOverTheLimits) {
+TEST_F(HttpServerTest, MarksOversizedRequests) {
   listen([](const HttpServerRequest& request, HttpResponder responder) {
     EXPECT_TRUE(request.oversize == HttpOversize::None || request.http.body.empty());
     responder.reply({200 + static_cast<int>(request.oversize), {}, ""});
@@ -84,11 +84,11 @@
   }
 }
 
-TEST_F(HttpServerTest, TellsWhenTheClientGoesAway) {
+TEST_F(HttpServerTest, CallsOnDisconnectWhenTheClientDisconnects) {
   std::vector<HttpResponder> held;
-  int gone = 0;
+  int disconnects = 0;
   listen([&](const HttpServerRequest&, HttpResponder responder) {
-    responder.onDisconnect([&gone] { ++gone; });
+    responder.onDisconnect([&disconnects] { ++disconnects; });
     held.push_back(std::move(responder));
   });
   client_->send({"GET", "/", {}, ""}, kTestCap, [](const HttpExchangeResult&) {});
@@ -96,19 +96,19 @@
   EXPECT_TRUE(held.front().isOpen());
   EXPECT_EQ(server_->inFlightRequests(), 1U);
   client_.reset();
-  ASSERT_TRUE(loop_.runUntil([&] { return gone > 0; }, kTestCap));
+  ASSERT_TRUE(loop_.runUntil([&] { return disconnects > 0; }, kTestCap));
   EXPECT_FALSE(held.front().isOpen());
   EXPECT_EQ(server_->inFlightRequests(), 0U);
   held.front().reply({200, {}, ""});
-  EXPECT_EQ(gone, 1);
+  EXPECT_EQ(disconnects, 1);
 }
 
-TEST_F(HttpServerTest, AnswersForAHandlerThatForgets) {
+TEST_F(HttpServerTest, SendsStatus500WhenTheHandlerDropsTheResponder) {
   listen([](const HttpServerRequest&, const HttpResponder&) {});
   EXPECT_EQ(exchange({"GET", "/", {}, ""}).response.status, 500);
 }
 
-TEST_F(HttpServerTest, DrainFinishesWhatIsInFlightAndAcceptsNothingNew) {
+TEST_F(HttpServerTest, DrainCompletesRequestsInFlightAndRejectsNewConnections) {
   std::vector<HttpResponder> held;
   listen([&](const HttpServerRequest&, HttpResponder responder) { held.push_back(std::move(responder)); });
   std::optional<HttpExchangeResult> result;
@@ -117,10 +117,10 @@
   bool drained = false;
   server_->drain([&] { drained = true; });
   HttpClient late(loop_, {.server = server_->endpoint()});
-  std::optional<HttpExchangeResult> refused;
-  late.send({"GET", "/", {}, ""}, kTestCap, [&](HttpExchangeResult ended) { refused = std::move(ended); });
-  ASSERT_TRUE(loop_.runUntil([&] { return refused.has_value(); }, kTestCap));
-  EXPECT_EQ(refused->status, HttpExchangeStatus::NotSent);
+  std::optional<HttpExchangeResult> late_result;
+  late.send({"GET", "/", {}, ""}, kTestCap, [&](HttpExchangeResult ended) { late_result = std::move(ended); });
+  ASSERT_TRUE(loop_.runUntil([&] { return late_result.has_value(); }, kTestCap));
+  EXPECT_EQ(late_result->status, HttpExchangeStatus::NotSent);
   EXPECT_FALSE(drained);
 
   std::string large;
@@ -133,7 +133,7 @@
   EXPECT_EQ(result->response.body.size(), large.size());
 }
 
-TEST_F(HttpServerTest, DrainWaitsForAnswersThatAreBeingWritten) {
+TEST_F(HttpServerTest, DrainWaitsUntilResponsesAreWritten) {
   const std::string large(8000000, 'x');
   bool drained = false;
   listen([&](const HttpServerRequest&, HttpResponder responder) {
@@ -149,7 +149,7 @@
   EXPECT_TRUE(loop_.runUntil([&] { return drained; }, kTestCap));
 }
 
-TEST_F(HttpServerTest, RespondersOutliveTheServer) {
+TEST_F(HttpServerTest, ResponderMayOutliveTheServer) {
   std::vector<HttpResponder> held;
   listen([&](const HttpServerRequest&, HttpResponder responder) { held.push_back(std::move(responder)); });
   client_->send({"GET", "/", {}, ""}, kTestCap, [](const HttpExchangeResult&) {});
--- a/test/net/link_pacer_test.cc
+++ b/test/net/link_pacer_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Large messages are written whole, in order and in pieces; an unlimited link writes them at once.
+/// Large messages are written completely, in order and in pieces; an unlimited link writes them immediately.
 
 #include "source/net/link_pacer.h"
 
@@ -23,18 +23,18 @@
 
 class LinkPacerTest : public ::testing::Test {
  protected:
-  /// Writes its letter for each byte.
+  /// @return a writer that appends the letter once for each byte.
   LinkPacer::Writer writer(char letter, std::size_t bytes) {
-    return [this, letter, left = bytes](std::size_t most) mutable {
-      const std::size_t size = std::min(most, left);
-      left -= size;
+    return [this, letter, remaining = bytes](std::size_t max_bytes) mutable {
+      const std::size_t size = std::min(max_bytes, remaining);
+      remaining -= size;
       written_.append(size, letter);
       ++pieces_;
       return size;
     };
   }
 
-  /// Time passes only here, so that how busy the machine is changes nothing.
+  /// Advances the virtual time, so that the test does not depend on the load of the machine.
   bool runUntil(const std::function<bool()>& done) {
     return loop_.runUntil(
         [&] {
@@ -53,7 +53,7 @@
   int pieces_ = 0;
 };
 
-TEST_F(LinkPacerTest, UnlimitedLinkWritesAtOnce) {
+TEST_F(LinkPacerTest, UnlimitedLinkWritesImmediately) {
   LinkPacer pacer(loop_, clock_, linkOf(0));
   pacer.start(1'000'000, writer('a', 1'000'000));
   EXPECT_EQ(written_.size(), 1'000'000U);
@@ -62,7 +62,7 @@
   EXPECT_EQ(pacer.transmissionTime(1e6), Duration::zero());
 }
 
-TEST_F(LinkPacerTest, SlowLinkWritesInPiecesOneMessageAfterTheOther) {
+TEST_F(LinkPacerTest, SlowLinkWritesMessagesInPiecesAndInOrder) {
   LinkPacer pacer(loop_, clock_, linkOf(4e6));
   pacer.start(100'000, writer('a', 100'000));
   pacer.start(50'000, writer('b', 50'000));
@@ -75,7 +75,7 @@
   EXPECT_EQ(pacer.backlogBytes(), 0U);
 }
 
-TEST_F(LinkPacerTest, CancelledMessagesTakeNoMoreOfTheLink) {
+TEST_F(LinkPacerTest, CancelledMessagesAreNotWritten) {
   LinkPacer pacer(loop_, clock_, linkOf(4e6));
   const TransferId first = pacer.start(1'000'000, writer('a', 1'000'000));
   const TransferId second = pacer.start(1'000'000, writer('b', 1'000'000));
@@ -88,7 +88,7 @@
   EXPECT_EQ(written_.substr(written_.size() - 10), std::string(10, 'c'));
 }
 
-TEST_F(LinkPacerTest, WriterWithNothingLeftEndsItsMessage) {
+TEST_F(LinkPacerTest, WriterThatReturnsZeroEndsItsMessage) {
   LinkPacer pacer(loop_, clock_, linkOf(4e6));
   pacer.start(1'000'000, [](std::size_t) { return std::size_t{0}; });
   pacer.start(10, writer('c', 10));
--- a/test/net/router_codec_test.cc
+++ b/test/net/router_codec_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Frames between router processes.
+/// Encoding and decoding of the frames between router processes.
 
 #include "source/net/router_codec.h"
 
@@ -39,9 +39,9 @@
   return frame;
 }
 
-TEST(RouterCodecTest, BringsAForwardFrameBack) {
-  const RouterFrame back = decodedOrHello(encodeRouterFrame(sampleForward()));
-  const auto* frame = std::get_if<ForwardFrame>(&back);
+TEST(RouterCodecTest, DecodesAnEncodedForwardFrame) {
+  const RouterFrame decoded = decodedOrHello(encodeRouterFrame(sampleForward()));
+  const auto* frame = std::get_if<ForwardFrame>(&decoded);
   ASSERT_NE(frame, nullptr);
   EXPECT_EQ(frame->exchange, 7U);
   EXPECT_EQ(frame->kind, RouteKind::Download);
@@ -52,15 +52,15 @@
   EXPECT_EQ(frame->http.headers, (std::vector<HttpHeader>{{"Host", "h"}}));
 }
 
-TEST(RouterCodecTest, BringsAReplyWithItsHintBack) {
+TEST(RouterCodecTest, DecodesAnEncodedReplyWithItsHint) {
   ForwardReplyFrame reply;
   reply.outcome = ForwardOutcome::NotRun;
   reply.reason = ForwardReason::NotOwner;
   reply.load = {3, 4, 5};
   reply.known.config = {9, 12, 1500};
   reply.hint = {11, 100, 199, InstanceId("i-9"), NodeName("n-9")};
-  const RouterFrame back = decodedOrHello(encodeRouterFrame(reply));
-  const auto* frame = std::get_if<ForwardReplyFrame>(&back);
+  const RouterFrame decoded = decodedOrHello(encodeRouterFrame(reply));
+  const auto* frame = std::get_if<ForwardReplyFrame>(&decoded);
   ASSERT_NE(frame, nullptr);
   EXPECT_EQ(frame->reason, ForwardReason::NotOwner);
   EXPECT_EQ(frame->load.queued, 4U);
@@ -71,7 +71,7 @@
   EXPECT_EQ(frame->hint.last, 199);
 }
 
-TEST(RouterCodecTest, EveryFrameThatIsCutIsRefused) {
+TEST(RouterCodecTest, TruncatedFramesAndTrailingBytesAreRejected) {
   const std::string whole = encodeRouterFrame(sampleForward());
   for (std::size_t size = 0; size < whole.size(); ++size) {
     EXPECT_FALSE(decodes(whole.substr(0, size))) << size;
@@ -79,7 +79,7 @@
   EXPECT_FALSE(decodes(whole + "x"));
 }
 
-TEST(RouterCodecTest, UnknownValuesOfEnumerationsAreRefused) {
+TEST(RouterCodecTest, UnknownEnumerationValuesAreRejected) {
   ForwardReplyFrame reply;
   reply.reason = static_cast<ForwardReason>(static_cast<int>(kLastForwardReason) + 1);
   EXPECT_FALSE(decodes(encodeRouterFrame(reply)));
@@ -90,7 +90,7 @@
   EXPECT_FALSE(decodes(encodeRouterFrame(forward)));
 }
 
-RC_GTEST_PROP(RouterCodecProperty, AnyBytesAreReadOrRefused, (const std::string& bytes)) { decodes(bytes); }
+RC_GTEST_PROP(RouterCodecProperty, ArbitraryBytesAreDecodedOrRejected, (const std::string& bytes)) { decodes(bytes); }
 
 }  // namespace
 }  // namespace shedlever::test
