--- a/test/net/strict_http_server_test.cc
+++ b/test/net/strict_http_server_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Requests that two parsers could read differently, limits, order of answers, and clients that leave.
+/// Ambiguous requests, limits, the order of responses, and clients that disconnect.
 
 #include "source/net/strict_http_server.h"
 
@@ -14,16 +14,16 @@
 namespace shedlever::test {
 namespace {
 
-/// A client that sends bytes as they are.
+/// A client that sends arbitrary bytes.
 class RawClient {
  public:
   RawClient(EventLoop& loop, const Endpoint& server)
       : stream_(bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE)) {
     bufferevent_setcb(
-        stream_.get(), [](bufferevent*, void* me) { static_cast<RawClient*>(me)->read(); }, nullptr,
-        [](bufferevent*, short events, void* me) {
+        stream_.get(), [](bufferevent*, void* self) { static_cast<RawClient*>(self)->read(); }, nullptr,
+        [](bufferevent*, short events, void* self) {
           if ((events & BEV_EVENT_CONNECTED) == 0) {
-            static_cast<RawClient*>(me)->closed = true;
+            static_cast<RawClient*>(self)->closed = true;
           }
         },
         this);
@@ -33,7 +33,7 @@
   }
 
   void send(const std::string& bytes) { bufferevent_write(stream_.get(), bytes.data(), bytes.size()); }
-  void leave() { stream_.reset(); }
+  void disconnect() { stream_.reset(); }
 
   std::string received;
   bool closed = false;
@@ -53,28 +53,28 @@
     server_ = leaf::try_handle_all(
         [&] {
           return StrictHttpServer::listen(loop_, kAnyLoopbackPort, limits,
-                                          [this](HttpRequest request, StrictHttpResponder replier) {
+                                          [this](HttpRequest request, StrictHttpResponder responder) {
                                             requests_.push_back(std::move(request));
-                                            repliers_.push_back(std::move(replier));
-                                            if (answers_at_once_) {
-                                              answerLast();
+                                            responders_.push_back(std::move(responder));
+                                            if (responds_immediately_) {
+                                              respondToLast();
                                             }
                                           });
         },
         [] { return std::unique_ptr<StrictHttpServer>(); });
   }
 
-  void answerLast() { repliers_.back().reply({200, {{"A", "b"}}, "to " + requests_.back().target}); }
+  void respondToLast() { responders_.back().reply({200, {{"A", "b"}}, "to " + requests_.back().target}); }
   bool runUntil(const std::function<bool()>& done) { return loop_.runUntil(done, kTestCap); }
 
   EventLoop loop_;
   std::unique_ptr<StrictHttpServer> server_;
   std::vector<HttpRequest> requests_;
-  std::vector<StrictHttpResponder> repliers_;
-  bool answers_at_once_ = true;
+  std::vector<StrictHttpResponder> responders_;
+  bool responds_immediately_ = true;
 };
 
-struct BadRow {
+struct InvalidRequestCase {
   const char* name;
   std::string bytes;
   const char* status;
@@ -82,7 +82,7 @@
 
 const std::string kHidden = "GET /hidden HTTP/1.1\r\nHost: h\r\n\r\n";
 
-std::vector<BadRow> badRows() {
+std::vector<InvalidRequestCase> invalidRequestCases() {
   const std::string post = "POST /x HTTP/1.1\r\nHost: h\r\n";
   return {
       {"two lengths", post + "Content-Length: 5\r\nContent-Length: 4\r\n\r\nhello" + kHidden, "400"},
@@ -114,8 +114,8 @@
       {"body too large", post + "Content-Length: 101\r\n\r\n" + std::string(101, 'b') + kHidden, "413"}};
 }
 
-TEST_F(StrictHttpServerTest, RefusesWhatCanBeReadTwoWaysAndReadsNothingBehindIt) {
-  for (const BadRow& row : badRows()) {
+TEST_F(StrictHttpServerTest, RejectsInvalidRequestsAndReadsNothingAfterThem) {
+  for (const InvalidRequestCase& row : invalidRequestCases()) {
     requests_.clear();
     RawClient client(loop_, server_->endpoint());
     client.send(row.bytes);
@@ -126,16 +126,16 @@
   }
 }
 
-TEST_F(StrictHttpServerTest, TellsOfEachRequestThatItCouldNotHandOver) {
-  std::vector<int> refused;
-  server_->onRejected([&](int status) { refused.push_back(status); });
+TEST_F(StrictHttpServerTest, CallsOnRejectedForAnInvalidRequest) {
+  std::vector<int> rejected_statuses;
+  server_->onRejected([&](int status) { rejected_statuses.push_back(status); });
   RawClient client(loop_, server_->endpoint());
   client.send("GET /x HTTP/1.1\r\n\r\n");
   ASSERT_TRUE(runUntil([&] { return client.closed || !client.received.empty(); }));
-  EXPECT_EQ(refused, std::vector<int>{400});
+  EXPECT_EQ(rejected_statuses, std::vector<int>{400});
 }
 
-TEST_F(StrictHttpServerTest, TakesLengthsAndChunks) {
+TEST_F(StrictHttpServerTest, AcceptsContentLengthAndChunkedBodies) {
   RawClient client(loop_, server_->endpoint());
   client.send("POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 5\r\n\r\nhello");
   client.send("POST /b HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n");
@@ -147,34 +147,34 @@
   EXPECT_EQ(requests_[2].headers, (std::vector<HttpHeader>{{"Host", "h"}, {"X-Other", "2"}}));
 }
 
-TEST_F(StrictHttpServerTest, AnswersPipelinedRequestsInOrderOneAfterTheOther) {
-  answers_at_once_ = false;
+TEST_F(StrictHttpServerTest, RespondsToPipelinedRequestsInOrderOneAtATime) {
+  responds_immediately_ = false;
   RawClient client(loop_, server_->endpoint());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\nGET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(runUntil([&] { return !requests_.empty(); }));
   EXPECT_EQ(requests_.size(), 1U);
-  answerLast();
+  respondToLast();
   ASSERT_TRUE(runUntil([&] { return requests_.size() == 2; }));
-  answerLast();
+  respondToLast();
   ASSERT_TRUE(runUntil([&] { return client.received.find("to /2") != std::string::npos; }));
   EXPECT_LT(client.received.find("to /1"), client.received.find("to /2"));
   EXPECT_EQ(server_->inFlightRequests(), 0U);
 }
 
-TEST_F(StrictHttpServerTest, TellsWhenAClientLeavesWhileItWaits) {
-  answers_at_once_ = false;
+TEST_F(StrictHttpServerTest, CallsOnDisconnectWhenAClientDisconnectsBeforeTheResponse) {
+  responds_immediately_ = false;
   RawClient client(loop_, server_->endpoint());
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(runUntil([&] { return !requests_.empty(); }));
-  bool gone = false;
-  repliers_.back().onDisconnect([&] { gone = true; });
-  client.leave();
-  EXPECT_TRUE(runUntil([&] { return gone; }));
+  bool disconnected = false;
+  responders_.back().onDisconnect([&] { disconnected = true; });
+  client.disconnect();
+  EXPECT_TRUE(runUntil([&] { return disconnected; }));
   EXPECT_EQ(server_->inFlightRequests(), 0U);
-  answerLast();
+  respondToLast();
 }
 
-TEST_F(StrictHttpServerTest, ClosesAfterAnswersOnceTold) {
+TEST_F(StrictHttpServerTest, ClosesConnectionsAfterResponsesWhenRequested) {
   RawClient client(loop_, server_->endpoint());
   server_->closeAfterResponses();
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
@@ -183,7 +183,7 @@
   EXPECT_NE(client.received.find("to /1"), std::string::npos);
 }
 
-TEST_F(StrictHttpServerTest, InvitesABodyThatWaitsToBeInvited) {
+TEST_F(StrictHttpServerTest, SendsContinueWhenTheClientExpectsIt) {
   RawClient client(loop_, server_->endpoint());
   client.send("POST /1 HTTP/1.1\r\nHost: h\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n");
   ASSERT_TRUE(runUntil([&] { return client.received.find("100 Continue") != std::string::npos; }));
@@ -192,39 +192,39 @@
   EXPECT_EQ(requests_.back().body, "ab");
 }
 
-// Seen: a process that stopped ended between giving its last answer and writing it.
-TEST_F(StrictHttpServerTest, IsBusyUntilTheAnswerIsTaken) {
-  answers_at_once_ = false;
+// A process must not exit between passing its last response to the server and the end of the transmission.
+TEST_F(StrictHttpServerTest, ConnectionIsBusyUntilTheClientHasReadTheResponse) {
+  responds_immediately_ = false;
   RawClient client(loop_, server_->endpoint());
   server_->closeAfterResponses();
   client.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(runUntil([&] { return !requests_.empty(); }));
   EXPECT_EQ(server_->busyConnections(), 1U);
-  answerLast();
+  respondToLast();
   EXPECT_EQ(server_->inFlightRequests(), 0U);
   EXPECT_EQ(server_->busyConnections(), 1U);
   ASSERT_TRUE(runUntil([&] { return client.closed; }));
   EXPECT_NE(client.received.find("to /1"), std::string::npos);
-  client.leave();
+  client.disconnect();
   EXPECT_TRUE(runUntil([&] { return server_->busyConnections() == 0; }));
 }
 
-TEST_F(StrictHttpServerTest, ClosesOnlyWhatRests) {
-  answers_at_once_ = false;
+TEST_F(StrictHttpServerTest, CloseIdleConnectionsKeepsBusyConnections) {
+  responds_immediately_ = false;
   RawClient busy(loop_, server_->endpoint());
-  RawClient resting(loop_, server_->endpoint());
+  RawClient idle(loop_, server_->endpoint());
   busy.send("GET /1 HTTP/1.1\r\nHost: h\r\n\r\n");
-  resting.send("GET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
+  idle.send("GET /2 HTTP/1.1\r\nHost: h\r\n\r\n");
   ASSERT_TRUE(runUntil([&] { return requests_.size() == 2; }));
   const std::size_t second = requests_[0].target == "/2" ? 0 : 1;
-  repliers_[second].reply({200, {}, {}});
-  ASSERT_TRUE(runUntil([&] { return resting.received.find("200") != std::string::npos; }));
+  responders_[second].reply({200, {}, {}});
+  ASSERT_TRUE(runUntil([&] { return idle.received.find("200") != std::string::npos; }));
   server_->closeIdleConnections();
-  ASSERT_TRUE(runUntil([&] { return resting.closed; }));
+  ASSERT_TRUE(runUntil([&] { return idle.closed; }));
   EXPECT_FALSE(busy.closed);
 }
 
-RC_GTEST_PROP(RequestParserProperty, ReadsTheSameHoweverTheBytesArrive, ()) {
+RC_GTEST_PROP(HttpRequestParserProperty, ResultDoesNotDependOnHowTheBytesAreSplit, ()) {
   const std::string bytes =
       "POST /a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nhel\r\n2\r\nlo\r\n0\r\n\r\n";
   const auto cuts = *rc::gen::container<std::vector<std::size_t>>(rc::gen::inRange<std::size_t>(1, 20));
@@ -232,14 +232,14 @@
   const EventBuffer buffer(evbuffer_new());
   std::size_t at = 0;
   std::size_t next = 0;
-  HttpRequestParseStatus progress = HttpRequestParseStatus::Empty;
+  HttpRequestParseStatus status = HttpRequestParseStatus::Empty;
   while (at < bytes.size()) {
     const std::size_t size = std::min(bytes.size() - at, cuts.empty() ? bytes.size() : cuts[next++ % cuts.size()]);
     evbuffer_add(buffer.get(), bytes.data() + at, size);
     at += size;
-    progress = parser.consume(buffer.get());
+    status = parser.consume(buffer.get());
   }
-  RC_ASSERT(progress == HttpRequestParseStatus::Complete);
+  RC_ASSERT(status == HttpRequestParseStatus::Complete);
   RC_ASSERT(parser.takeRequest().body == "hello");
 }
 
--- a/test/net/text_file_test.cc
+++ b/test/net/text_file_test.cc
@@ -1,5 +1,5 @@
 /// @file
-/// Files read whole, and one that is not there.
+/// Reading of complete files, and of a missing file.
 
 #include "source/net/text_file.h"
 
@@ -21,16 +21,16 @@
   EXPECT_EQ(*text, bytes);
 }
 
-TEST(TextFileTest, NamesTheFileThatCantBeRead) {
+TEST(TextFileTest, ReportsThePathOfAnUnreadableFile) {
   const std::string path = ::testing::TempDir() + "text_file_test_absent";
-  const std::string place = leaf::try_handle_all(
+  const std::string location = leaf::try_handle_all(
       [&]() -> leaf::result<std::string> {
         BOOST_LEAF_CHECK(readTextFile(path));
         return std::string("it was read");
       },
       [](const Findings& findings) { return findings.list.front().location; },
       [] { return std::string("no findings"); });
-  EXPECT_EQ(place, path);
+  EXPECT_EQ(location, path);
 }
 
 }  // namespace
