--- a/demo/demo_main.cc
+++ b/demo/demo_main.cc
@@ -74,7 +74,7 @@
   return duplicates;
 }
 
-/// @return the number of requests that were executed although their callers were told that they were not.
+/// @return the number of requests that were executed although their callers were notified that they were not.
 std::size_t countExecutedReportedAsNotRun(const std::vector<load::RequestRecord>& records,
                                           const check::RunChecks& checks) {
   std::size_t wrong = 0;
--- a/soak/config_probe.cc
+++ b/soak/config_probe.cc
@@ -6,8 +6,8 @@
 
 using std::chrono::milliseconds;
 
-/// Nodes usually activate a changed configuration within two seconds; the rest is slack for a busy machine. A watch
-/// that is never answered times out only after 18 s, so waiting for that timeout alone exceeds the limit.
+/// Nodes activate a changed configuration within two seconds; the rest allows for a busy machine. The limit is below
+/// the 18 s after which an unanswered watch times out, so it detects nodes that wait for that timeout.
 constexpr Duration kActivationTimeout = std::chrono::seconds(10);
 constexpr Duration kProbeInterval = milliseconds(100);
 constexpr Duration kRequestTimeout = milliseconds(2500);
--- a/soak/local_deployment.h
+++ b/soak/local_deployment.h
@@ -66,8 +66,8 @@
   /// Starts a node's server and router.
   LocalNode& addNode(const std::string& service, bool divided);
 
-  /// Kills the node's processes for good and gives its addresses to a new node of the service. The new processes are
-  /// started by `restartExitedProcesses`.
+  /// Kills the node's processes permanently and assigns its addresses to a new node of the service. The new processes
+  /// are started by `restartExitedProcesses`.
   void replaceNode(LocalNode& node, const std::string& service, bool divided);
 
   /// Starts the processes that have ended and are to be restarted.
@@ -88,7 +88,7 @@
   const LocalDeploymentConfig& config() const { return config_; }
 
  private:
-  /// Gives the node an unused name, and files named after it.
+  /// Assigns an unused name, and files named after it, to the node.
   void assignName(LocalNode& node);
   void startRouter(LocalNode& node);
   void startServer(LocalNode& node);
--- a/soak/soak_world.cc
+++ b/soak/soak_world.cc
@@ -24,7 +24,7 @@
 constexpr Duration kWarmUpDuration = seconds(6);
 constexpr Duration kRecoveryDuration = seconds(14);
 constexpr Duration kRecoveryMeasurementDuration = seconds(4);
-/// Of the requests sent while recovery is measured.
+/// Minimum ratio of served requests while recovery is measured.
 constexpr double kMinServedRatio = 0.97;
 constexpr const char* kSearch = "search";
 constexpr const char* kOrders = "orders";
@@ -34,7 +34,7 @@
 /// Equals the timeout of the routes; a failure after this time counts as a timeout.
 constexpr Duration kRouteTimeout = milliseconds(1500);
 constexpr std::uint64_t kMaxEventIntervalMs = 2500;
-/// Shorter, because clients retry a failed request soon.
+/// Shorter than for other events, because clients retry a failed request soon.
 constexpr std::uint64_t kMaxFatalRequestIntervalMs = 500;
 constexpr int kOk = 200;
 
--- a/soak/soak_world.h
+++ b/soak/soak_world.h
@@ -67,7 +67,8 @@
   void injectLinkFault(LocalNode& node);
   void injectStoreFault();
   void injectServerFault(LocalNode& node);
-  /// Loses the node for good and gives its addresses to a node of the other service.
+  /// Kills the node permanently and assigns its addresses to a node of the other service, unless its service has too
+  /// few nodes.
   void replaceNode(LocalNode& node);
   void injectMaintenance();
   /// Injects the next event of the kind that the configuration selects.
