--- a/soak/soak_main.cc
+++ b/soak/soak_main.cc
@@ -9,7 +9,7 @@
 #include <iostream>
 #include <string>
 
-#include "soak/soak_world.h"
+#include "soak/soak_runner.h"
 
 int main(int argc, char** argv) {
   namespace options = boost::program_options;
