--- a/source/cli/cli_ports.h
+++ b/source/cli/cli_ports.h
@@ -18,7 +18,7 @@
   Done = 0,
   Failed = 1,    ///< the command failed
   Findings = 2,  ///< wrong usage or invalid documents; nothing was changed
-  Conflict = 3,  ///< would have overwritten another operator's change; nothing was written
+  Conflict = 3,  ///< a document was not written, because that would have overwritten another operator's change
   Unknown = 4,   ///< the change may or may not have been made
 };
 
