--- a/source/lab/load/unavailability_meter.cc
+++ b/source/lab/load/unavailability_meter.cc
@@ -40,7 +40,7 @@
   bool in_gap = false;
   Duration begin = Duration::zero();
   Duration last_failed_end = Duration::zero();
-  const auto endGap = [&](Duration end) {
+  const auto end_gap = [&](Duration end) {
     const Duration lower_bound = std::min(last_failed_end, std::max(end, begin)) - begin;
     result.longest_lower_bound = std::max(result.longest_lower_bound, lower_bound);
     result.total_lower_bound += lower_bound;
@@ -50,7 +50,7 @@
   };
   for (const Sample& sample : samples) {
     if (sample.answered && in_gap) {
-      endGap(sample.due);
+      end_gap(sample.due);
     } else if (!sample.answered) {
       begin = in_gap ? begin : sample.due;
       last_failed_end = in_gap ? std::max(last_failed_end, sample.ended) : sample.ended;
@@ -58,7 +58,7 @@
     }
   }
   if (in_gap) {
-    endGap(last_failed_end);
+    end_gap(last_failed_end);
   }
   return result;
 }
