--- a/demo/demo_main.cc
+++ b/demo/demo_main.cc
@@ -130,7 +130,7 @@
     deployment.addNode("bookings", false);
   }
   deployment.runFor(kStartTime);
-  const BootClockImpl clock;
+  const BootTimeClock clock;
   load::LoadRunner runner(loop, clock, loadOf(deployment, deployment.nodes()));
   say("load: " + std::to_string(static_cast<int>(kRate)) + " requests a second");
   runner.start();
--- a/soak/config_probe.cc
+++ b/soak/config_probe.cc
@@ -29,12 +29,14 @@
       newestPrefix(version) + "x",
       {{"Host", "h"}, {"X-Request-Id", "p" + std::to_string(++last_request_)}, {"X-Request-Deadline", "2000"}},
       {}};
-  clients_[client]->send(std::move(request), kTimeout, [this, client, version, waited](const HttpExchange& exchange) {
-    onAnswer(client, version, waited, exchange);
-  });
+  clients_[client]->send(std::move(request), kTimeout,
+                         [this, client, version, waited](const HttpExchangeResult& exchange) {
+                           onAnswer(client, version, waited, exchange);
+                         });
 }
 
-void ConfigProbe::onAnswer(std::size_t client, std::uint64_t version, Duration waited, const HttpExchange& exchange) {
+void ConfigProbe::onAnswer(std::size_t client, std::uint64_t version, Duration waited,
+                           const HttpExchangeResult& exchange) {
   // Whether there is room for it is another question.
   const bool in_force = exchange.status == HttpExchangeStatus::Complete && exchange.response.status != kNotFound;
   const bool replaced = version != version_;
--- a/soak/config_probe.h
+++ b/soak/config_probe.h
@@ -35,7 +35,7 @@
 
  private:
   void ask(std::size_t client, std::uint64_t version, Duration waited);
-  void onAnswer(std::size_t client, std::uint64_t version, Duration waited, const HttpExchange& exchange);
+  void onAnswer(std::size_t client, std::uint64_t version, Duration waited, const HttpExchangeResult& exchange);
 
   EventLoop& loop_;
   std::vector<std::unique_ptr<HttpClient>>& clients_;
--- a/soak/fatal_requests.cc
+++ b/soak/fatal_requests.cc
@@ -25,7 +25,7 @@
                        {"X-Request-Deadline", "2000"},
                        {"X-Shard-Key", key}},
                       {}};
-  clients_[client]->send(std::move(request), kTimeout, [](const HttpExchange&) {});
+  clients_[client]->send(std::move(request), kTimeout, [](const HttpExchangeResult&) {});
 }
 
 void FatalRequests::sendRound() {
--- a/source/cli/cli.cc
+++ b/source/cli/cli.cc
@@ -154,7 +154,7 @@
   if (command.needs_operator && options.operators.empty()) {
     findings.add("--operator", "is required by " + name + ".");
   }
-  for (const std::string& option : options.given) {
+  for (const std::string& option : options.given_options) {
     const bool known = std::find(command.options.begin(), command.options.end(), option) != command.options.end();
     if (!known && option != "json") {
       findings.add("--" + option, "has no meaning for " + name + ".");
@@ -165,14 +165,14 @@
 
 ExitCode runCommand(const CliArguments& arguments, const CliPortsFactory& make_ports, std::ostream& out,
                     std::ostream& err) {
-  const CommandRow* command = findCommand(arguments.words);
+  const CommandRow* command = findCommand(arguments.positional);
   if (command == nullptr) {
-    err << toString(unknownCommand(arguments.words));
+    err << toString(unknownCommand(arguments.positional));
     return ExitCode::Findings;
   }
   const std::size_t name_words = command->name.find(' ') == std::string_view::npos ? 1 : 2;
-  const std::vector<std::string> words(arguments.words.begin() + static_cast<std::ptrdiff_t>(name_words),
-                                       arguments.words.end());
+  const std::vector<std::string> words(arguments.positional.begin() + static_cast<std::ptrdiff_t>(name_words),
+                                       arguments.positional.end());
   const Findings findings = checkUsage(*command, arguments.options, words.size());
   if (!findings.empty()) {
     err << toString(findings);
--- a/source/cli/cli_arguments.cc
+++ b/source/cli/cli_arguments.cc
@@ -50,11 +50,12 @@
   OptionReader(CliOptions& options, Findings& findings) : options_(options), findings_(findings) {}
 
   void read(const std::string& name, const std::string& value) {
-    const bool repeated = std::find(options_.given.begin(), options_.given.end(), name) != options_.given.end();
+    const bool repeated =
+        std::find(options_.given_options.begin(), options_.given_options.end(), name) != options_.given_options.end();
     if (repeated && name != "operator") {
       findings_.add("--" + name, "is given a second time.");
     }
-    options_.given.push_back(name);
+    options_.given_options.push_back(name);
     if (value.compare(0, 2, "--") == 0) {
       findings_.add("--" + name, "needs a value.");
       return;
@@ -100,11 +101,11 @@
     if (!whole || (name == "wait-ms" && number > kLongestWaitMs)) {
       findings_.add("--" + name, "must be a whole number, not \"" + value + "\".");
     } else if (name == "base") {
-      options_.base = number;
+      options_.base_version = number;
     } else if (name == "at") {
-      options_.at = number;
+      options_.history_version = number;
     } else {
-      options_.wait_limit = std::chrono::milliseconds(number);
+      options_.wait_timeout = std::chrono::milliseconds(number);
     }
   }
 
@@ -134,7 +135,7 @@
          po::command_line_parser(arguments).options(options).style(argument_style).run().options) {
       const std::string value = option.value.empty() ? "" : option.value.front();
       if (option.position_key >= 0) {
-        result.words.push_back(value);
+        result.positional.push_back(value);
       } else {
         reader.read(option.string_key, value);
       }
--- a/source/cli/cli_arguments.h
+++ b/source/cli/cli_arguments.h
@@ -23,21 +23,21 @@
   std::vector<Endpoint> operators;
   bool json = false;
   bool wait = false;
-  Duration wait_limit = std::chrono::seconds(30);
+  Duration wait_timeout = std::chrono::seconds(30);
   bool effective = false;
   bool save = false;
-  std::optional<SettingsVersion> base;
-  std::optional<SettingsVersion> at;
+  std::optional<SettingsVersion> base_version;
+  std::optional<SettingsVersion> history_version;
   std::string author;
   std::string change_id;
   /// Names of the options given, without dashes.
-  std::vector<std::string> given;
+  std::vector<std::string> given_options;
 };
 
 struct CliArguments {
   CliOptions options;
   /// All that is no option: the command and what it works on.
-  std::vector<std::string> words;
+  std::vector<std::string> positional;
 };
 
 /// @return the command line, or Findings with every wrong value.
--- a/source/cli/cli_context.cc
+++ b/source/cli/cli_context.cc
@@ -47,7 +47,7 @@
   return std::nullopt;
 }
 
-Findings findingsOf(const SettingsDocuments& documents) {
+Findings validateDocuments(const SettingsDocuments& documents) {
   return leaf::try_handle_all(
       [&]() -> leaf::result<Findings> {
         BOOST_LEAF_CHECK(resolveSettings(documents));
--- a/source/cli/cli_context.h
+++ b/source/cli/cli_context.h
@@ -21,7 +21,7 @@
   CliPorts& ports;
   const CliOptions& options;
   /// What the command works on: the words after its name.
-  std::vector<std::string> words;
+  std::vector<std::string> operands;
   std::ostream& out;
   std::ostream& err;
 };
@@ -41,6 +41,6 @@
 std::optional<SettingsDocuments> fetchDocuments(CliPorts& ports);
 
 /// @return what is wrong with the documents; empty when they resolve.
-Findings findingsOf(const SettingsDocuments& documents);
+Findings validateDocuments(const SettingsDocuments& documents);
 
 }  // namespace shedlever
--- a/source/cli/cli_ports.h
+++ b/source/cli/cli_ports.h
@@ -24,13 +24,13 @@
 
 /// How a call to a router ended.
 enum class OperatorCallStatus : std::uint8_t {
-  NotSent,   ///< proved: the router did not get it
-  Lost,      ///< it may have got it
-  Answered,  ///< `http_status` and `body` are its answer
+  NotSent,       ///< proved: the router did not get it
+  ResponseLost,  ///< it may have got it
+  Answered,      ///< `http_status` and `body` are its answer
 };
 
-struct OperatorAnswer {
-  OperatorCallStatus status = OperatorCallStatus::Lost;
+struct OperatorResponse {
+  OperatorCallStatus status = OperatorCallStatus::ResponseLost;
   int http_status = 0;
   std::string body;
 };
@@ -42,7 +42,7 @@
 
   /// @param done runs exactly once, later.
   virtual void call(const Endpoint& router, const std::string& method, const std::string& target,
-                    std::function<void(const OperatorAnswer&)> done) = 0;
+                    std::function<void(const OperatorResponse&)> done) = 0;
 };
 
 class CliPorts {
--- a/source/cli/config_apply.cc
+++ b/source/cli/config_apply.cc
@@ -17,7 +17,7 @@
 
   ExitCode run() {
     Findings findings;
-    files_ = readSettingsFiles(context_.words, findings);
+    files_ = readSettingsFiles(context_.operands, findings);
     checkOptions(findings);
     const std::optional<SettingsDocuments> stored = fetchDocuments(context_.ports);
     if (!stored) {
@@ -27,7 +27,7 @@
     for (const auto& [name, file] : files_) {
       documents[name] = file.document;
     }
-    findings.append(findingsOf(documents));
+    findings.append(validateDocuments(documents));
     if (!findings.empty()) {
       return failWith(context_, findings);
     }
@@ -42,7 +42,7 @@
 
  private:
   void checkOptions(Findings& findings) {
-    if (context_.options.base && files_.size() > 1) {
+    if (context_.options.base_version && files_.size() > 1) {
       findings.add("--base", "is the version of one document; give one file with it.");
     }
     if (context_.options.wait && context_.options.operators.empty()) {
@@ -58,7 +58,7 @@
     ExitCode worst = ExitCode::Done;
     for (const auto& [name, file] : files_) {
       if (worst != ExitCode::Done) {
-        report_.addUntried(name);
+        report_.addSkipped(name);
         continue;
       }
       const SettingsWriteOutcome outcome = write(name, file, change);
@@ -73,7 +73,7 @@
   }
 
   SettingsWriteOutcome write(const DocumentName& name, const SettingsFile& file, const ChangeInfo& change) {
-    const SettingsWriteRequest request{name, file.document.text, context_.options.base, change};
+    const SettingsWriteRequest request{name, file.document.text, context_.options.base_version, change};
     SettingsWrite write(request, context_.ports.store(), context_.ports.timer());
     return awaitResult<SettingsWriteOutcome>(context_.ports, [&](auto done) { write.start(done); });
   }
@@ -92,14 +92,14 @@
   /// Others may have written other documents meanwhile: the whole must still be right.
   ExitCode afterwards() {
     const std::optional<SettingsDocuments> stored = fetchDocuments(context_.ports);
-    const Findings findings = stored ? findingsOf(*stored) : Findings{};
+    const Findings findings = stored ? validateDocuments(*stored) : Findings{};
     if (!findings.empty()) {
       context_.err << "shedlever: written, but together with changes of others the documents have findings; "
                       "nodes keep the settings that they have\n"
                    << toString(findings);
       return ExitCode::Failed;
     }
-    return context_.options.wait ? waitUntilInForce(context_, applied_) : ExitCode::Done;
+    return context_.options.wait ? waitUntilActive(context_, applied_) : ExitCode::Done;
   }
 
   CliContext& context_;
--- a/source/cli/config_check.cc
+++ b/source/cli/config_check.cc
@@ -8,7 +8,7 @@
 
 ExitCode runConfigCheck(CliContext& context) {
   Findings findings;
-  const std::map<DocumentName, SettingsFile> files = readSettingsFiles(context.words, findings);
+  const std::map<DocumentName, SettingsFile> files = readSettingsFiles(context.operands, findings);
   SettingsDocuments documents;
   if (context.options.platform) {
     std::optional<SettingsDocuments> stored = fetchDocuments(context.ports);
@@ -20,7 +20,7 @@
   for (const auto& [name, file] : files) {
     documents[name] = file.document;
   }
-  findings.append(findingsOf(documents));
+  findings.append(validateDocuments(documents));
   if (!findings.empty()) {
     return failWith(context, findings);
   }
@@ -30,10 +30,10 @@
 
 ExitCode runConfigDiff(CliContext& context) {
   Findings findings;
-  const std::map<DocumentName, SettingsFile> files = readSettingsFiles(context.words, findings);
+  const std::map<DocumentName, SettingsFile> files = readSettingsFiles(context.operands, findings);
   for (const auto& [name, file] : files) {
     if (contentOf(file.document.text).is_null()) {
-      findings.append(findingsOf({{name, file.document}}));
+      findings.append(validateDocuments({{name, file.document}}));
     }
   }
   if (!findings.empty()) {
--- a/source/cli/config_get.cc
+++ b/source/cli/config_get.cc
@@ -88,18 +88,18 @@
 }  // namespace
 
 ExitCode runConfigGet(CliContext& context) {
-  if (context.words.empty()) {
+  if (context.operands.empty()) {
     return listDocuments(context);
   }
-  const std::string& name = context.words.front();
+  const std::string& name = context.operands.front();
   if (context.options.effective) {
     return getEffective(context, name);
   }
   const ReadResult result = readObject(context, kSettingsPrefix + name);
-  const bool current = !context.options.at || (result.status == ReadStatus::Found &&  //
-                                               *context.options.at == result.object.version);
+  const bool current = !context.options.history_version || (result.status == ReadStatus::Found &&  //
+                                                            *context.options.history_version == result.object.version);
   if (!current) {
-    return getVersion(context, name, *context.options.at);
+    return getVersion(context, name, *context.options.history_version);
   }
   if (result.status != ReadStatus::Found) {
     return readFailure(context, result, name);
@@ -112,7 +112,7 @@
 }
 
 ExitCode runConfigHistory(CliContext& context) {
-  const std::string& name = context.words.front();
+  const std::string& name = context.operands.front();
   const ReadResult current = readObject(context, kSettingsPrefix + name);
   if (current.status != ReadStatus::Found) {
     return readFailure(context, current, name);
--- a/source/cli/config_report.cc
+++ b/source/cli/config_report.cc
@@ -90,6 +90,6 @@
   }
 }
 
-void ApplyReport::addUntried(const DocumentName& document) { table_.add({document.value, "not-tried", "-", "-"}); }
+void ApplyReport::addSkipped(const DocumentName& document) { table_.add({document.value, "not-tried", "-", "-"}); }
 
 }  // namespace shedlever
--- a/source/cli/config_report.h
+++ b/source/cli/config_report.h
@@ -19,7 +19,7 @@
   ApplyReport();
 
   void add(const DocumentName& document, const std::string& change_id, const SettingsWriteOutcome& outcome);
-  void addUntried(const DocumentName& document);
+  void addSkipped(const DocumentName& document);
 
   const TextTable& table() const { return table_; }
 
--- a/source/cli/config_wait.cc
+++ b/source/cli/config_wait.cc
@@ -22,7 +22,7 @@
 std::vector<std::string> routersBehind(CliContext& context, const std::map<DocumentName, SettingsVersion>& versions) {
   std::vector<std::string> behind;
   for (const Endpoint& router : context.options.operators) {
-    const std::optional<NodeStatus> status = askStatus(context.ports, router);
+    const std::optional<NodeStatus> status = fetchStatus(context.ports, router);
     if (!status || !isInForce(*status, versions)) {
       behind.push_back(status ? status->node.name.value : toString(router) + " (no answer)");
     }
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-ExitCode waitUntilInForce(CliContext& context, const std::map<DocumentName, SettingsVersion>& versions) {
-  const auto polls = std::max<Duration::rep>(1, context.options.wait_limit / kPollInterval);
+ExitCode waitUntilActive(CliContext& context, const std::map<DocumentName, SettingsVersion>& versions) {
+  const auto polls = std::max<Duration::rep>(1, context.options.wait_timeout / kPollInterval);
   std::vector<std::string> behind;
   for (Duration::rep i = 0; i < polls; ++i) {
     behind = routersBehind(context, versions);
--- a/source/cli/config_wait.h
+++ b/source/cli/config_wait.h
@@ -11,6 +11,6 @@
 
 /// Asks each router until it has at least the version given of each document in force, or `--wait-ms` is over.
 /// @return Done, or Failed with a message that says what is missing.
-ExitCode waitUntilInForce(CliContext& context, const std::map<DocumentName, SettingsVersion>& versions);
+ExitCode waitUntilActive(CliContext& context, const std::map<DocumentName, SettingsVersion>& versions);
 
 }  // namespace shedlever
--- a/source/cli/explain_command.cc
+++ b/source/cli/explain_command.cc
@@ -42,13 +42,13 @@
 ExitCode runExplain(CliContext& context) {
   Findings findings;
   std::vector<LogLine> lines;
-  for (std::size_t i = 1; i < context.words.size(); ++i) {
-    readLog(context.words[i], lines, findings);
+  for (std::size_t i = 1; i < context.operands.size(); ++i) {
+    readLog(context.operands[i], lines, findings);
   }
   if (!findings.empty()) {
     return failWith(context, findings);
   }
-  const std::string& id = context.words.front();
+  const std::string& id = context.operands.front();
   const std::vector<TraceStep> steps = traceRequest(lines, id);
   if (steps.empty()) {
     context.err << "no line has the id " << id
--- a/source/cli/network_ports.cc
+++ b/source/cli/network_ports.cc
@@ -22,11 +22,11 @@
 constexpr Duration kWaitCap = std::chrono::minutes(5);
 constexpr Duration kOperatorTimeout = std::chrono::seconds(10);
 
-OperatorAnswer toAnswer(const HttpExchange& exchange) {
+OperatorResponse toAnswer(const HttpExchangeResult& exchange) {
   switch (exchange.status) {
     case HttpExchangeStatus::Complete:
       return {OperatorCallStatus::Answered, exchange.response.status, exchange.response.body};
-    case HttpExchangeStatus::NeverSent:
+    case HttpExchangeStatus::NotSent:
       return {OperatorCallStatus::NotSent, 0, ""};
     case HttpExchangeStatus::ConnectionLost:
     case HttpExchangeStatus::Malformed:
@@ -34,7 +34,7 @@
     case HttpExchangeStatus::Cancelled:
       break;
   }
-  return {OperatorCallStatus::Lost, 0, ""};
+  return {OperatorCallStatus::ResponseLost, 0, ""};
 }
 
 class HttpOperatorClient final : public OperatorClient {
@@ -42,7 +42,7 @@
   explicit HttpOperatorClient(EventLoop& loop) : loop_(loop) {}
 
   void call(const Endpoint& router, const std::string& method, const std::string& target,
-            std::function<void(const OperatorAnswer&)> done) override {
+            std::function<void(const OperatorResponse&)> done) override {
     std::unique_ptr<HttpClient>& client = clients_[router];
     if (!client) {
       HttpClientConfig config;
@@ -50,7 +50,7 @@
       client = std::make_unique<HttpClient>(loop_, config);
     }
     client->send({method, target, {}, ""}, kOperatorTimeout,
-                 [done = std::move(done)](const HttpExchange& exchange) { done(toAnswer(exchange)); });
+                 [done = std::move(done)](const HttpExchangeResult& exchange) { done(toAnswer(exchange)); });
   }
 
  private:
@@ -73,9 +73,9 @@
   return config;
 }
 
-class NetworkPorts final : public CliPorts {
+class NetworkCliPorts final : public CliPorts {
  public:
-  NetworkPorts(const CliOptions& options, const StoreFactory& make_store)
+  NetworkCliPorts(const CliOptions& options, const StoreFactory& make_store)
       : operators_(loop_),
         timer_(loop_),
         store_client_(loop_, storeConfig(options)),
@@ -120,7 +120,7 @@
 
  private:
   void callStore(HttpRequest request, Duration timeout, std::function<void(std::optional<HttpResponse>)> done) {
-    store_client_.send(std::move(request), timeout, [done = std::move(done)](HttpExchange exchange) {
+    store_client_.send(std::move(request), timeout, [done = std::move(done)](HttpExchangeResult exchange) {
       const bool answered = exchange.status == HttpExchangeStatus::Complete;
       done(answered ? std::optional<HttpResponse>(std::move(exchange.response)) : std::nullopt);
     });
@@ -137,9 +137,9 @@
 
 }  // namespace
 
-CliPortsFactory networkPorts(StoreFactory make_store) {
+CliPortsFactory makeNetworkCliPorts(StoreFactory make_store) {
   return [make_store = std::move(make_store)](const CliOptions& options) {
-    return std::make_unique<NetworkPorts>(options, make_store);
+    return std::make_unique<NetworkCliPorts>(options, make_store);
   };
 }
 
--- a/source/cli/network_ports.h
+++ b/source/cli/network_ports.h
@@ -10,6 +10,6 @@
 
 /// @param make_store speaks the store's protocol.
 /// @return makes ports for the endpoints that the options name.
-CliPortsFactory networkPorts(StoreFactory make_store);
+CliPortsFactory makeNetworkCliPorts(StoreFactory make_store);
 
 }  // namespace shedlever
--- a/source/cli/operator_commands.cc
+++ b/source/cli/operator_commands.cc
@@ -10,8 +10,8 @@
 
 constexpr int kHttpOk = 200;
 
-OperatorAnswer ask(CliPorts& ports, const Endpoint& router, const std::string& method, const std::string& target) {
-  return awaitResult<OperatorAnswer>(ports, [&](auto done) { ports.operators().call(router, method, target, done); });
+OperatorResponse ask(CliPorts& ports, const Endpoint& router, const std::string& method, const std::string& target) {
+  return awaitResult<OperatorResponse>(ports, [&](auto done) { ports.operators().call(router, method, target, done); });
 }
 
 std::string stateOf(const NodeStatus& status) {
@@ -38,7 +38,7 @@
 std::vector<NodeStatus> askAll(CliContext& context) {
   std::vector<NodeStatus> found;
   for (const Endpoint& router : context.options.operators) {
-    if (auto status = askStatus(context.ports, router)) {
+    if (auto status = fetchStatus(context.ports, router)) {
       found.push_back(std::move(*status));
     } else {
       context.err << "shedlever: no status from " << toString(router) << "\n";
@@ -53,8 +53,8 @@
 
 }  // namespace
 
-std::optional<NodeStatus> askStatus(CliPorts& ports, const Endpoint& router) {
-  const OperatorAnswer answer = ask(ports, router, "GET", "/status");
+std::optional<NodeStatus> fetchStatus(CliPorts& ports, const Endpoint& router) {
+  const OperatorResponse answer = ask(ports, router, "GET", "/status");
   if (answer.status != OperatorCallStatus::Answered || answer.http_status != kHttpOk) {
     return std::nullopt;
   }
@@ -129,11 +129,11 @@
     return failWith(context, findings);
   }
   const Endpoint& router = context.options.operators.front();
-  const OperatorAnswer answer = ask(context.ports, router, "POST", "/drain");
+  const OperatorResponse answer = ask(context.ports, router, "POST", "/drain");
   switch (answer.status) {
     case OperatorCallStatus::NotSent:
       return failWith(context, "the router does not answer; nothing was asked");
-    case OperatorCallStatus::Lost:
+    case OperatorCallStatus::ResponseLost:
       context.err << "shedlever: the answer was lost: the server may or may not be draining; ask again\n";
       return ExitCode::Unknown;
     case OperatorCallStatus::Answered:
--- a/source/cli/operator_commands.h
+++ b/source/cli/operator_commands.h
@@ -23,6 +23,6 @@
 ExitCode runDrain(CliContext& context);
 
 /// @return the router's status; nothing when it does not answer, or with something else.
-std::optional<NodeStatus> askStatus(CliPorts& ports, const Endpoint& router);
+std::optional<NodeStatus> fetchStatus(CliPorts& ports, const Endpoint& router);
 
 }  // namespace shedlever
--- a/source/lab/load/load_command.cc
+++ b/source/lab/load/load_command.cc
@@ -74,7 +74,7 @@
 int run(const LoadOptions& options) {
   std::signal(SIGPIPE, SIG_IGN);
   EventLoop loop;
-  const BootClockImpl clock;
+  const BootTimeClock clock;
   LoadRunner runner(loop, clock, options.config);
   loop.onSignal(SIGINT, [&runner] { runner.finishEarly(); });
   runner.start();
--- a/source/lab/load/load_runner.h
+++ b/source/lab/load/load_runner.h
@@ -54,7 +54,7 @@
   void sendDue();
   void send(PlannedRequest planned, Duration due);
   HttpRequest httpOf(const PlannedRequest& planned) const;
-  void ended(const PlannedRequest& planned, RequestRecord record, const HttpExchange& exchange);
+  void ended(const PlannedRequest& planned, RequestRecord record, const HttpExchangeResult& exchange);
   void readReply(const PlannedRequest& planned, const HttpResponse& response, RequestRecord& record);
   Duration sinceStart() const { return clock_.now() - begin_; }
 
--- a/source/net/event_buffers.cc
+++ b/source/net/event_buffers.cc
@@ -31,7 +31,7 @@
   return bytes;
 }
 
-std::string takeAll(evbuffer* buffer) { return takeBytes(buffer, evbuffer_get_length(buffer)); }
+std::string takeAllBytes(evbuffer* buffer) { return takeBytes(buffer, evbuffer_get_length(buffer)); }
 
 void flushOutput(bufferevent* stream) {
   evbuffer* output = bufferevent_get_output(stream);
--- a/source/net/event_buffers.h
+++ b/source/net/event_buffers.h
@@ -16,7 +16,7 @@
 std::string takeBytes(evbuffer* buffer, std::size_t size);
 
 /// Takes all bytes out of the buffer.
-std::string takeAll(evbuffer* buffer);
+std::string takeAllBytes(evbuffer* buffer);
 
 /// Writes what a connected stream's output holds now, without a turn of the loop; the loop writes what the kernel does
 /// not take, and finds errors. Saves two changes of the event set and a wake-up for most writes.
--- a/source/net/file_version.cc
+++ b/source/net/file_version.cc
@@ -13,9 +13,9 @@
 
 }  // namespace
 
-FileVersion::FileVersion(std::string path) : path_(std::move(path)) { changed(); }
+FileChangeDetector::FileChangeDetector(std::string path) : path_(std::move(path)) { hasChanged(); }
 
-bool FileVersion::changed() {
+bool FileChangeDetector::hasChanged() {
   struct stat now {};
   if (stat(path_.c_str(), &now) != 0 || same(now, seen_)) {
     return false;
--- a/source/net/file_version.h
+++ b/source/net/file_version.h
@@ -10,13 +10,13 @@
 namespace shedlever {
 
 /// Asked from time to time: file notifications are not to be had on all machines.
-class FileVersion {
+class FileChangeDetector {
  public:
-  explicit FileVersion(std::string path);
+  explicit FileChangeDetector(std::string path);
 
   /// @return whether the file is another one, or has other bytes, than at the last call or the construction. A file
   ///   that is missing has not changed.
-  bool changed();
+  bool hasChanged();
 
  private:
   std::string path_;
--- a/source/net/http_client.cc
+++ b/source/net/http_client.cc
@@ -40,11 +40,11 @@
 /// @return request line and headers.
 std::string headOf(const HttpRequest& request, const HttpClientConfig& config) {
   std::string head = request.method + " " + request.target + " HTTP/1.1\r\n";
-  if (!config.keep_host) {
+  if (!config.preserve_host) {
     head += "Host: " + toString(config.server) + "\r\n";
   }
   for (const HttpHeader& header : request.headers) {
-    if (!isFramingHeader(header.name) && (config.keep_host || !sameHeaderName(header.name, "host")) &&
+    if (!isFramingHeader(header.name) && (config.preserve_host || !sameHeaderName(header.name, "host")) &&
         !sameHeaderName(header.name, "expect")) {
       head += header.name + ": " + header.value + "\r\n";
     }
@@ -59,7 +59,7 @@
 
 }  // namespace
 
-class HttpClient::Impl final : public HttpConnectionOwner {
+class HttpClient::Impl final : public HttpConnectionObserver {
  public:
   Impl(EventLoop& loop, HttpClientConfig config) : loop_(loop), config_(std::move(config)) {}
 
@@ -72,13 +72,13 @@
     }
   }
 
-  HttpExchangeId send(HttpRequest request, Duration timeout, HttpExchangeCallback done, HttpAnswerCheck check) {
+  HttpExchangeId send(HttpRequest request, Duration timeout, HttpExchangeCallback done, HttpResponseValidator check) {
     const HttpExchangeId id = ++last_id_;
     Exchange& exchange = exchanges_[id];
     exchange.done = std::move(done);
     exchange.check = std::move(check);
     if (!canBeWritten(request)) {
-      postEnd(id, HttpExchangeStatus::NeverSent);
+      postEnd(id, HttpExchangeStatus::NotSent);
       return id;
     }
     exchange.request = std::move(request);
@@ -98,7 +98,7 @@
     dispatch();
   }
 
-  void exchangeEnded(HttpConnection& connection, HttpExchange exchange, bool reusable) override {
+  void exchangeEnded(HttpConnection& connection, HttpExchangeResult exchange, bool reusable) override {
     Pooled& pooled = connections_.at(&connection);
     const HttpExchangeId id = std::exchange(pooled.exchange, 0);
     Exchange& ended = exchanges_.at(id);
@@ -116,11 +116,11 @@
     finish(id, std::move(exchange));
   }
 
-  void idleConnectionBroken(HttpConnection& connection) override { close(connection); }
+  void idleConnectionUnusable(HttpConnection& connection) override { close(connection); }
 
-  bool sent(HttpExchangeId id) const {
+  bool hasSentBytes(HttpExchangeId id) const {
     const auto found = exchanges_.find(id);
-    return found != exchanges_.end() && found->second.connection != nullptr && found->second.connection->sentAnything();
+    return found != exchanges_.end() && found->second.connection != nullptr && found->second.connection->hasSentBytes();
   }
 
   std::size_t openConnections() const { return connections_.size(); }
@@ -129,7 +129,7 @@
   struct Exchange {
     HttpRequest request;
     HttpExchangeCallback done;
-    HttpAnswerCheck check;
+    HttpResponseValidator check;
     TimerId timer = 0;
     /// Null while it waits for a connection.
     HttpConnection* connection = nullptr;
@@ -170,7 +170,7 @@
   Pooled* takeConnection() {
     while (!idle_.empty()) {
       HttpConnection* connection = idle_.back();
-      if (!connection->looksOpen()) {
+      if (!connection->appearsOpen()) {
         close(*connection);
         continue;
       }
@@ -179,7 +179,7 @@
       loop_.cancel(std::exchange(pooled.idle_timer, 0));
       return &pooled;
     }
-    if (connections_.size() >= config_.connections) {
+    if (connections_.size() >= config_.max_connections) {
       return nullptr;
     }
     auto connection = std::make_unique<HttpConnection>(loop_, config_, *this);
@@ -190,7 +190,7 @@
 
   void makeIdle(HttpConnection& connection, Pooled& pooled) {
     idle_.push_back(&connection);
-    const Duration idle_timeout = std::min(config_.idle_timeout, connection.keepAlive());
+    const Duration idle_timeout = std::min(config_.idle_timeout, connection.keepAliveTimeout());
     pooled.idle_timer = loop_.runAfter(idle_timeout, [this, &connection] { close(connection); });
   }
 
@@ -202,15 +202,15 @@
   }
 
   /// Takes an exchange off its connection and closes that.
-  /// @return `status`, or NeverSent where that is proved.
+  /// @return `status`, or NotSent where that is proved.
   HttpExchangeStatus detach(Exchange& exchange, HttpExchangeStatus status) {
     if (exchange.connection == nullptr) {
-      return HttpExchangeStatus::NeverSent;
+      return HttpExchangeStatus::NotSent;
     }
     HttpConnection& connection = *std::exchange(exchange.connection, nullptr);
-    const bool sent = connection.sentAnything();
+    const bool sent = connection.hasSentBytes();
     close(connection);
-    return sent ? status : HttpExchangeStatus::NeverSent;
+    return sent ? status : HttpExchangeStatus::NotSent;
   }
 
   void giveUp(HttpExchangeId id, HttpExchangeStatus status) {
@@ -232,7 +232,7 @@
   }
 
   /// The last thing done in every path: the callback may destroy this client.
-  void finish(HttpExchangeId id, HttpExchange result) {
+  void finish(HttpExchangeId id, HttpExchangeResult result) {
     auto node = exchanges_.extract(id);
     loop_.cancel(node.mapped().timer);
     node.mapped().done(std::move(result));
@@ -254,11 +254,11 @@
 HttpClient::~HttpClient() = default;
 
 HttpExchangeId HttpClient::send(HttpRequest request, Duration timeout, HttpExchangeCallback done,
-                                HttpAnswerCheck check) {
+                                HttpResponseValidator check) {
   return impl_->send(std::move(request), timeout, std::move(done), std::move(check));
 }
 
-bool HttpClient::sent(HttpExchangeId exchange) const { return impl_->sent(exchange); }
+bool HttpClient::hasSentBytes(HttpExchangeId exchange) const { return impl_->hasSentBytes(exchange); }
 
 void HttpClient::cancel(HttpExchangeId exchange) { impl_->cancel(exchange); }
 
--- a/source/net/http_connection.cc
+++ b/source/net/http_connection.cc
@@ -10,10 +10,10 @@
 
 namespace shedlever {
 
-HttpConnection::HttpConnection(EventLoop& loop, const HttpClientConfig& config, HttpConnectionOwner& owner)
+HttpConnection::HttpConnection(EventLoop& loop, const HttpClientConfig& config, HttpConnectionObserver& observer)
     : loop_(loop),
       config_(config),
-      owner_(owner),
+      observer_(observer),
       stream_(bufferevent_socket_new(loop.base(), -1, BEV_OPT_CLOSE_ON_FREE)) {
   connect();
 }
@@ -26,7 +26,8 @@
   const bool begun = address && bufferevent_socket_connect(stream_.get(), const_cast<sockaddr*>(address->get()),
                                                            static_cast<int>(address->length)) == 0;
   // A failure at once is told from the loop as well, never inside the caller's call.
-  connect_timer_ = loop_.runAfter(begun ? config_.connect_timeout : Duration::zero(), [this] { broken(false, false); });
+  connect_timer_ =
+      loop_.runAfter(begun ? config_.connect_timeout : Duration::zero(), [this] { connectionClosed(false, false); });
 }
 
 void HttpConnection::connected() {
@@ -34,21 +35,21 @@
   connected_ = true;
   const evutil_socket_t socket = bufferevent_getfd(stream_.get());
   setNoDelay(socket);
-  if (config_.dead_peer_limit > Duration::zero()) {
-    setDeadPeerLimit(socket, config_.dead_peer_limit);
+  if (config_.dead_peer_timeout > Duration::zero()) {
+    setDeadPeerTimeout(socket, config_.dead_peer_timeout);
   }
   bufferevent_enable(stream_.get(), EV_READ);
-  if (busy_) {
+  if (exchange_active_) {
     writeRequest();
   }
 }
 
 void HttpConnection::start(std::string head, std::string body, bool is_head) {
-  busy_ = true;
+  exchange_active_ = true;
   request_size_ = head.size() + body.size();
   head_ = std::move(head);
   body_ = std::move(body);
-  parser_.emplace(config_.header_limit, config_.body_limit, is_head, config_.close_framed);
+  parser_.emplace(config_.max_header_bytes, config_.max_body_bytes, is_head, config_.allow_close_delimited);
   if (connected_) {
     writeRequest();
   }
@@ -61,17 +62,17 @@
   flushOutput(stream_.get());
 }
 
-bool HttpConnection::sentAnything() const {
-  return busy_ && connected_ && evbuffer_get_length(bufferevent_get_output(stream_.get())) < request_size_;
+bool HttpConnection::hasSentBytes() const {
+  return exchange_active_ && connected_ && evbuffer_get_length(bufferevent_get_output(stream_.get())) < request_size_;
 }
 
-bool HttpConnection::looksOpen() const {
+bool HttpConnection::appearsOpen() const {
   char byte = 0;
   const ssize_t peeked = recv(bufferevent_getfd(stream_.get()), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return peeked < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-void HttpConnection::onRead(bufferevent*, void* argument) { static_cast<HttpConnection*>(argument)->readAnswer(); }
+void HttpConnection::onRead(bufferevent*, void* argument) { static_cast<HttpConnection*>(argument)->readResponse(); }
 
 void HttpConnection::onEvent(bufferevent*, short events, void* argument) {
   auto* self = static_cast<HttpConnection*>(argument);
@@ -79,43 +80,45 @@
     self->connected();
   } else {
     const bool refused = !self->connected_ && EVUTIL_SOCKET_ERROR() == ECONNREFUSED;
-    self->broken((events & BEV_EVENT_EOF) != 0, refused);
+    self->connectionClosed((events & BEV_EVENT_EOF) != 0, refused);
   }
 }
 
-void HttpConnection::readAnswer() {
-  if (!busy_) {
-    owner_.idleConnectionBroken(*this);
+void HttpConnection::readResponse() {
+  if (!exchange_active_) {
+    observer_.idleConnectionUnusable(*this);
     return;
   }
   evbuffer* input = bufferevent_get_input(stream_.get());
-  const HttpParseProgress progress = parser_->consume(input);
-  if (progress == HttpParseProgress::Bad) {
-    end({HttpExchangeStatus::Malformed, {}}, false);
-  } else if (progress == HttpParseProgress::Done) {
+  const HttpResponseParseStatus progress = parser_->consume(input);
+  if (progress == HttpResponseParseStatus::Invalid) {
+    endExchange({HttpExchangeStatus::Malformed, {}}, false);
+  } else if (progress == HttpResponseParseStatus::Complete) {
     const bool all_sent = evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0;
     const bool surplus = evbuffer_get_length(input) > 0;
-    keep_alive_ = parser_->keepAlive();
-    end({HttpExchangeStatus::Complete, parser_->take()}, parser_->keepsConnection() && all_sent && !surplus);
+    keep_alive_ = parser_->keepAliveTimeout();
+    endExchange({HttpExchangeStatus::Complete, parser_->takeResponse()},
+                parser_->keepsConnection() && all_sent && !surplus);
   }
 }
 
-void HttpConnection::broken(bool in_order, bool refused) {
+void HttpConnection::connectionClosed(bool in_order, bool refused) {
   loop_.cancel(std::exchange(connect_timer_, 0));
-  if (!busy_) {
-    owner_.idleConnectionBroken(*this);
-  } else if (in_order && parser_->endsWithConnection()) {
-    end({HttpExchangeStatus::Complete, parser_->take()}, false);
-  } else if (parser_->started()) {
-    end({HttpExchangeStatus::Malformed, {}}, false);
+  if (!exchange_active_) {
+    observer_.idleConnectionUnusable(*this);
+  } else if (in_order && parser_->completesOnClose()) {
+    endExchange({HttpExchangeStatus::Complete, parser_->takeResponse()}, false);
+  } else if (parser_->hasStarted()) {
+    endExchange({HttpExchangeStatus::Malformed, {}}, false);
   } else {
-    end({sentAnything() ? HttpExchangeStatus::ConnectionLost : HttpExchangeStatus::NeverSent, {}, refused}, false);
+    endExchange({hasSentBytes() ? HttpExchangeStatus::ConnectionLost : HttpExchangeStatus::NotSent, {}, refused},
+                false);
   }
 }
 
-void HttpConnection::end(HttpExchange exchange, bool reusable) {
-  busy_ = false;
-  owner_.exchangeEnded(*this, std::move(exchange), reusable);
+void HttpConnection::endExchange(HttpExchangeResult exchange, bool reusable) {
+  exchange_active_ = false;
+  observer_.exchangeEnded(*this, std::move(exchange), reusable);
 }
 
 }  // namespace shedlever
--- a/source/net/http_connection.h
+++ b/source/net/http_connection.h
@@ -16,23 +16,23 @@
 class HttpConnection;
 
 /// What a pool is told by its connections. The connection may be destroyed inside either call.
-class HttpConnectionOwner {
+class HttpConnectionObserver {
  public:
-  virtual ~HttpConnectionOwner() = default;
+  virtual ~HttpConnectionObserver() = default;
 
   /// The exchange under way has ended.
   /// @param reusable whether the connection may carry another.
-  virtual void exchangeEnded(HttpConnection& connection, HttpExchange exchange, bool reusable) = 0;
+  virtual void exchangeEnded(HttpConnection& connection, HttpExchangeResult exchange, bool reusable) = 0;
 
   /// The connection ended, or something arrived on it, while it carried no exchange.
-  virtual void idleConnectionBroken(HttpConnection& connection) = 0;
+  virtual void idleConnectionUnusable(HttpConnection& connection) = 0;
 };
 
 class HttpConnection {
  public:
   /// Begins to connect.
-  /// @param loop, config, owner outlive the connection.
-  HttpConnection(EventLoop& loop, const HttpClientConfig& config, HttpConnectionOwner& owner);
+  /// @param loop, config, observer outlive the connection.
+  HttpConnection(EventLoop& loop, const HttpClientConfig& config, HttpConnectionObserver& observer);
   ~HttpConnection();
   HttpConnection(const HttpConnection&) = delete;
   HttpConnection& operator=(const HttpConnection&) = delete;
@@ -42,13 +42,13 @@
   void start(std::string head, std::string body, bool is_head);
 
   /// @return whether any byte of the present request was handed to the network.
-  bool sentAnything() const;
+  bool hasSentBytes() const;
 
   /// @return how long the server said that it keeps the connection without work, less a part for the way.
-  Duration keepAlive() const { return keep_alive_; }
+  Duration keepAliveTimeout() const { return keep_alive_; }
 
   /// @return whether the connection still looks open: nothing to read, no end seen by the kernel.
-  bool looksOpen() const;
+  bool appearsOpen() const;
 
  private:
   static void onRead(bufferevent* stream, void* argument);
@@ -57,21 +57,21 @@
   void connect();
   void connected();
   void writeRequest();
-  void readAnswer();
+  void readResponse();
   /// @param in_order whether the server ended the connection in order.
   /// @param refused whether nothing listens at the server's address.
-  void broken(bool in_order, bool refused);
-  void end(HttpExchange exchange, bool reusable);
+  void connectionClosed(bool in_order, bool refused);
+  void endExchange(HttpExchangeResult exchange, bool reusable);
 
   EventLoop& loop_;
   const HttpClientConfig& config_;
-  HttpConnectionOwner& owner_;
+  HttpConnectionObserver& observer_;
   BufferEventHandle stream_;
   /// Runs out when no connection comes about, or tells of a failure inside the constructor.
   TimerId connect_timer_ = 0;
   bool connected_ = false;
   Duration keep_alive_ = Duration::max();
-  bool busy_ = false;
+  bool exchange_active_ = false;
   std::string head_;
   std::string body_;
   /// Bytes of the present request.
--- a/source/net/http_exchange.cc
+++ b/source/net/http_exchange.cc
@@ -13,39 +13,41 @@
 
 }  // namespace
 
-HttpResponder::Exchange::Exchange(EventLoop& loop, HttpExchangeOwner& owner, evhttp_request* request)
-    : loop_(loop), owner_(&owner), request_(request) {
+HttpResponder::Exchange::Exchange(EventLoop& loop, HttpExchangeObserver& observer, evhttp_request* request)
+    : loop_(loop), observer_(&observer), request_(request) {
   watchConnection();
 }
 
 HttpResponder::Exchange::~Exchange() {
-  if (owner_ == nullptr || request_ == nullptr) {
+  if (observer_ == nullptr || request_ == nullptr) {
     return;
   }
   // Nobody is left to be told of the writing.
   evhttp_connection_set_closecb(evhttp_request_get_connection(request_), nullptr, nullptr);
   closed_event_.reset();
   evhttp_send_reply(std::exchange(request_, nullptr), kStatusInternalError, nullptr, nullptr);
-  owner_->exchangeEnded(*this);
+  observer_->exchangeEnded(*this);
 }
 
 void HttpResponder::Exchange::watchConnection() {
   evhttp_connection* connection = evhttp_request_get_connection(request_);
   const auto closing = [](evhttp_connection*, void* argument) { static_cast<Exchange*>(argument)->ended(); };
   evhttp_connection_set_closecb(connection, closing, this);
-  const auto closed = [](evutil_socket_t, short, void* argument) { static_cast<Exchange*>(argument)->clientGone(); };
+  const auto closed = [](evutil_socket_t, short, void* argument) {
+    static_cast<Exchange*>(argument)->clientDisconnected();
+  };
   const evutil_socket_t socket = bufferevent_getfd(evhttp_connection_get_bufferevent(connection));
   closed_event_.reset(event_new(loop_.base(), socket, EV_CLOSED, closed, this));
   event_add(closed_event_.get(), nullptr);
 }
 
 void HttpResponder::Exchange::reply(HttpResponse response) {
-  if (owner_ == nullptr || request_ == nullptr) {
+  if (observer_ == nullptr || request_ == nullptr) {
     return;
   }
   closed_event_.reset();
-  gone_ = nullptr;
-  owner_->exchangeAnswered(shared_from_this());
+  on_disconnect_ = nullptr;
+  observer_->responseStarted(shared_from_this());
   write(std::move(response));
 }
 
@@ -57,7 +59,7 @@
       evhttp_add_header(headers, header.name.c_str(), header.value.c_str());
     }
   }
-  if (owner_->closesConnections()) {
+  if (observer_->closesAfterResponse()) {
     evhttp_add_header(headers, "Connection", "close");
   }
   evbuffer* body = evhttp_request_get_output_buffer(request);
@@ -78,43 +80,43 @@
 void HttpResponder::Exchange::ended() {
   request_ = nullptr;
   closed_event_.reset();
-  if (owner_ != nullptr) {
+  if (observer_ != nullptr) {
     // May drop the last reference to this exchange.
-    std::exchange(owner_, nullptr)->exchangeEnded(*this);
+    std::exchange(observer_, nullptr)->exchangeEnded(*this);
   }
 }
 
-void HttpResponder::Exchange::clientGone() {
+void HttpResponder::Exchange::clientDisconnected() {
   const std::shared_ptr<Exchange> self = shared_from_this();
   evhttp_connection* connection = evhttp_request_get_connection(request_);
   evhttp_connection_set_closecb(connection, nullptr, nullptr);
   evhttp_connection_free(connection);
   ended();
-  const std::function<void()> gone = std::exchange(gone_, nullptr);
+  const std::function<void()> gone = std::exchange(on_disconnect_, nullptr);
   if (gone) {
     gone();
   }
 }
 
-void HttpResponder::Exchange::setGone(std::function<void()> gone) {
-  if (open()) {
-    gone_ = std::move(gone);
+void HttpResponder::Exchange::setDisconnectCallback(std::function<void()> gone) {
+  if (isOpen()) {
+    on_disconnect_ = std::move(gone);
   }
 }
 
 void HttpResponder::Exchange::abandon() {
-  owner_ = nullptr;
+  observer_ = nullptr;
   request_ = nullptr;
   closed_event_.reset();
-  gone_ = nullptr;
+  on_disconnect_ = nullptr;
 }
 
 HttpResponder::HttpResponder(std::shared_ptr<Exchange> exchange) : exchange_(std::move(exchange)) {}
 
 void HttpResponder::reply(HttpResponse response) { exchange_->reply(std::move(response)); }
 
-void HttpResponder::onGone(std::function<void()> gone) { exchange_->setGone(std::move(gone)); }
+void HttpResponder::onDisconnect(std::function<void()> gone) { exchange_->setDisconnectCallback(std::move(gone)); }
 
-bool HttpResponder::open() const { return exchange_->open(); }
+bool HttpResponder::isOpen() const { return exchange_->isOpen(); }
 
 }  // namespace shedlever
--- a/source/net/http_response_parser.cc
+++ b/source/net/http_response_parser.cc
@@ -48,38 +48,41 @@
 }  // namespace
 
 HttpResponseParser::HttpResponseParser(std::size_t header_limit, std::size_t body_limit, bool to_head,
-                                       bool close_framed)
-    : header_limit_(header_limit), body_limit_(body_limit), to_head_(to_head), close_framed_(close_framed) {}
+                                       bool allow_close_delimited)
+    : header_limit_(header_limit),
+      body_limit_(body_limit),
+      to_head_(to_head),
+      allow_close_delimited_(allow_close_delimited) {}
 
-HttpParseProgress HttpResponseParser::consume(evbuffer* input) {
+HttpResponseParseStatus HttpResponseParser::consume(evbuffer* input) {
   started_ = started_ || evbuffer_get_length(input) > 0;
   while (state_ != State::Done) {
     const std::size_t before = evbuffer_get_length(input);
     const State state_before = state_;
-    const HttpParseProgress progress = step(input);
-    if (progress == HttpParseProgress::Bad) {
+    const HttpResponseParseStatus progress = step(input);
+    if (progress == HttpResponseParseStatus::Invalid) {
       return progress;
     }
     if (evbuffer_get_length(input) == before && state_ == state_before) {
-      return HttpParseProgress::More;
+      return HttpResponseParseStatus::Incomplete;
     }
   }
-  return HttpParseProgress::Done;
+  return HttpResponseParseStatus::Complete;
 }
 
-HttpParseProgress HttpResponseParser::step(evbuffer* input) {
+HttpResponseParseStatus HttpResponseParser::step(evbuffer* input) {
   if (state_ == State::UntilClose) {
-    return takeUntilClose(input) ? HttpParseProgress::More : HttpParseProgress::Bad;
+    return takeUntilClose(input) ? HttpResponseParseStatus::Incomplete : HttpResponseParseStatus::Invalid;
   }
   if (state_ == State::Body || state_ == State::ChunkData) {
     takeBody(input);
-    return HttpParseProgress::More;
+    return HttpResponseParseStatus::Incomplete;
   }
   const Line line = readLine(input);
   if (line.bad) {
-    return HttpParseProgress::Bad;
+    return HttpResponseParseStatus::Invalid;
   }
-  return line.text ? lineStep(*line.text) : HttpParseProgress::More;
+  return line.text ? lineStep(*line.text) : HttpResponseParseStatus::Incomplete;
 }
 
 HttpResponseParser::Line HttpResponseParser::readLine(evbuffer* input) {
@@ -97,7 +100,7 @@
   return line;
 }
 
-HttpParseProgress HttpResponseParser::lineStep(std::string_view line) {
+HttpResponseParseStatus HttpResponseParser::lineStep(std::string_view line) {
   bool good = true;
   switch (state_) {
     case State::StatusLine:
@@ -122,7 +125,7 @@
     case State::Done:
       break;
   }
-  return good ? HttpParseProgress::More : HttpParseProgress::Bad;
+  return good ? HttpResponseParseStatus::Incomplete : HttpResponseParseStatus::Invalid;
 }
 
 bool HttpResponseParser::takeStatusLine(std::string_view line) {
@@ -195,7 +198,7 @@
     state_ = State::ChunkSize;
     return !content_length_;
   }
-  if (!content_length_ && close_framed_) {
+  if (!content_length_ && allow_close_delimited_) {
     keeps_connection_ = false;
     state_ = State::UntilClose;
     return true;
--- a/source/net/http_response_parser.h
+++ b/source/net/http_response_parser.h
@@ -15,37 +15,38 @@
 
 namespace shedlever {
 
-enum class HttpParseProgress : std::uint8_t {
-  More,  ///< good so far, not whole yet
-  Done,  ///< whole; what follows in the buffer does not belong to it
-  Bad,   ///< can't be an answer whose end is certain
+enum class HttpResponseParseStatus : std::uint8_t {
+  Incomplete,  ///< good so far, not whole yet
+  Complete,    ///< whole; what follows in the buffer does not belong to it
+  Invalid,     ///< can't be an answer whose end is certain
 };
 
 /// Takes answers with Content-Length, chunked ones, and those that have no body by rule. One that ends with its
-/// connection is Bad unless the caller allows it: it can't be told from one that was cut in order.
+/// connection is Invalid unless the caller allows it: it can't be told from one that was cut in order.
 class HttpResponseParser {
  public:
   /// @param to_head whether the request's method was HEAD.
-  /// @param close_framed whether an answer without a length may end with its connection.
-  HttpResponseParser(std::size_t header_limit, std::size_t body_limit, bool to_head, bool close_framed = false);
+  /// @param allow_close_delimited whether an answer without a length may end with its connection.
+  HttpResponseParser(std::size_t header_limit, std::size_t body_limit, bool to_head,
+                     bool allow_close_delimited = false);
 
   /// Takes as much from the buffer as belongs to the answer.
-  HttpParseProgress consume(evbuffer* input);
+  HttpResponseParseStatus consume(evbuffer* input);
 
   /// @return whether any byte of an answer has been seen.
-  bool started() const { return started_; }
+  bool hasStarted() const { return started_; }
 
-  /// @return whether the server will keep the connection; after Done.
+  /// @return whether the server will keep the connection; after Complete.
   bool keepsConnection() const { return keeps_connection_; }
 
   /// @return whether the answer is whole if the connection ends now, in order.
-  bool endsWithConnection() const { return state_ == State::UntilClose; }
+  bool completesOnClose() const { return state_ == State::UntilClose; }
 
   /// @return how long the server keeps a connection without work, less a part for the way; max when it said nothing.
-  Duration keepAlive() const { return keep_alive_; }
+  Duration keepAliveTimeout() const { return keep_alive_; }
 
-  /// The answer, after Done; headers that frame it are left out.
-  HttpResponse take() { return std::move(response_); }
+  /// The answer, after Complete; headers that frame it are left out.
+  HttpResponse takeResponse() { return std::move(response_); }
 
  private:
   enum class State : std::uint8_t {
@@ -67,8 +68,8 @@
   };
 
   Line readLine(evbuffer* input);
-  HttpParseProgress step(evbuffer* input);
-  HttpParseProgress lineStep(std::string_view line);
+  HttpResponseParseStatus step(evbuffer* input);
+  HttpResponseParseStatus lineStep(std::string_view line);
   bool takeStatusLine(std::string_view line);
   bool takeHeader(std::string_view line);
   bool takeFramingHeader(std::string_view name, std::string_view value);
@@ -81,7 +82,7 @@
   std::size_t header_limit_;
   std::size_t body_limit_;
   bool to_head_;
-  bool close_framed_;
+  bool allow_close_delimited_;
   Duration keep_alive_ = Duration::max();
   State state_ = State::StatusLine;
   bool started_ = false;
--- a/source/net/http_server.cc
+++ b/source/net/http_server.cc
@@ -76,7 +76,7 @@
     result.oversize = HttpOversize::Body;
   }
   if (result.oversize == HttpOversize::None) {
-    result.http.body = takeAll(body);
+    result.http.body = takeAllBytes(body);
   } else {
     evbuffer_drain(body, evbuffer_get_length(body));
   }
@@ -87,7 +87,7 @@
 
 }  // namespace
 
-class HttpServer::Impl final : public HttpExchangeOwner {
+class HttpServer::Impl final : public HttpExchangeObserver {
  public:
   Impl(EventLoop& loop, const HttpServerLimits& limits, HttpHandler handler)
       : loop_(loop), limits_(limits), handler_(std::move(handler)), server_(evhttp_new(loop.base())) {
@@ -136,7 +136,7 @@
     checkDrained();
   }
 
-  void exchangeAnswered(std::shared_ptr<HttpResponder::Exchange> exchange) override {
+  void responseStarted(std::shared_ptr<HttpResponder::Exchange> exchange) override {
     waiting_.erase(exchange.get());
     HttpResponder::Exchange* key = exchange.get();
     writing_.emplace(key, std::move(exchange));
@@ -148,10 +148,10 @@
     checkDrained();
   }
 
-  bool closesConnections() const override { return draining_; }
+  bool closesAfterResponse() const override { return draining_; }
 
   const Endpoint& endpoint() const { return endpoint_; }
-  std::size_t inFlight() const { return waiting_.size(); }
+  std::size_t inFlightRequests() const { return waiting_.size(); }
 
  private:
   void requestArrived(evhttp_request* request) {
@@ -195,7 +195,7 @@
 
 const Endpoint& HttpServer::endpoint() const { return impl_->endpoint(); }
 
-std::size_t HttpServer::inFlight() const { return impl_->inFlight(); }
+std::size_t HttpServer::inFlightRequests() const { return impl_->inFlightRequests(); }
 
 void HttpServer::drain(std::function<void()> done) { impl_->drain(std::move(done)); }
 
--- a/source/net/http_server.h
+++ b/source/net/http_server.h
@@ -50,10 +50,10 @@
   void reply(HttpResponse response);
 
   /// @param gone runs once from the loop if the client goes away before it has been answered.
-  void onGone(std::function<void()> gone);
+  void onDisconnect(std::function<void()> gone);
 
   /// @return whether an answer can still reach the client.
-  bool open() const;
+  bool isOpen() const;
 
   class Exchange;
   explicit HttpResponder(std::shared_ptr<Exchange> exchange);
@@ -80,7 +80,7 @@
   const Endpoint& endpoint() const;
 
   /// @return requests that were handed to the handler and not answered.
-  std::size_t inFlight() const;
+  std::size_t inFlightRequests() const;
 
   /// Accepts no more connections, answers what is in flight and closes each connection after its answer.
   /// @param done runs from the loop once nothing is in flight.
--- a/source/net/link_pacer.cc
+++ b/source/net/link_pacer.cc
@@ -29,7 +29,7 @@
   return std::clamp(static_cast<std::size_t>(bytes), kLeastPiece, kLargestPiece);
 }
 
-void LinkPacer::note(std::size_t bytes) {
+void LinkPacer::recordSent(std::size_t bytes) {
   if (budget_.isLimited()) {
     budget_.spend(bytes, clock_.now());
   }
@@ -38,7 +38,7 @@
 TransferId LinkPacer::start(std::size_t bytes, Writer write) {
   const TransferId id = ++last_id_;
   transfers_.push_back({id, bytes, std::move(write)});
-  backlog_ += bytes;
+  backlog_bytes_ += bytes;
   if (timer_ == 0 && !running_) {
     run();
   }
@@ -52,7 +52,7 @@
   if (found == transfers_.end() || (running_ && found == transfers_.begin())) {
     return;
   }
-  backlog_ -= found->left;
+  backlog_bytes_ -= found->remaining_bytes;
   transfers_.erase(found);
 }
 
@@ -65,13 +65,13 @@
       break;
     }
     Transfer& transfer = transfers_.front();
-    const std::size_t most = std::min(pieceSize(), transfer.left);
+    const std::size_t most = std::min(pieceSize(), transfer.remaining_bytes);
     const std::size_t written = transfer.write(most);
     budget_.spend(written, clock_.now());
-    const bool done = written < most || written == transfer.left;
-    const std::size_t settled = done ? transfer.left : written;
-    backlog_ -= settled;
-    transfer.left -= settled;
+    const bool done = written < most || written == transfer.remaining_bytes;
+    const std::size_t settled = done ? transfer.remaining_bytes : written;
+    backlog_bytes_ -= settled;
+    transfer.remaining_bytes -= settled;
     if (done) {
       transfers_.pop_front();
     }
--- a/source/net/link_pacer.h
+++ b/source/net/link_pacer.h
@@ -15,7 +15,7 @@
 namespace shedlever {
 
 /// Messages of at least so many bytes are paced.
-inline constexpr std::size_t kPacedBytes = 24U << 10U;
+inline constexpr std::size_t kMinPacedMessageBytes = 24U << 10U;
 
 /// Names a paced message; 0 names none.
 using TransferId = std::uint64_t;
@@ -33,7 +33,7 @@
   LinkPacer& operator=(const LinkPacer&) = delete;
 
   /// A small message was written.
-  void note(std::size_t bytes);
+  void recordSent(std::size_t bytes);
 
   /// Writes a message in pieces, after those that were started before it. The first piece may be written inside the
   /// call.
@@ -43,19 +43,19 @@
   void cancel(TransferId transfer);
 
   /// @return bytes of paced messages that are not written yet.
-  std::size_t backlog() const { return backlog_; }
+  std::size_t backlogBytes() const { return backlog_bytes_; }
 
-  bool limited() const { return budget_.isLimited(); }
+  bool isLimited() const { return budget_.isLimited(); }
 
   /// @return how long the link takes for the backlog and so many bytes more.
-  Duration waitFor(double more_bytes) const {
-    return budget_.transmissionTime(static_cast<double>(backlog_) + more_bytes);
+  Duration transmissionTime(double more_bytes) const {
+    return budget_.transmissionTime(static_cast<double>(backlog_bytes_) + more_bytes);
   }
 
  private:
   struct Transfer {
     TransferId id = 0;
-    std::size_t left = 0;
+    std::size_t remaining_bytes = 0;
     Writer write;
   };
 
@@ -67,7 +67,7 @@
   LinkConfig config_;
   LinkBudget budget_;
   std::list<Transfer> transfers_;
-  std::size_t backlog_ = 0;
+  std::size_t backlog_bytes_ = 0;
   TransferId last_id_ = 0;
   TimerId timer_ = 0;
   bool running_ = false;
--- a/source/net/message_stream.cc
+++ b/source/net/message_stream.cc
@@ -50,11 +50,11 @@
   start();
   const std::string preface = toBytes(options_.preface);
   evbuffer_add(bufferevent_get_output(stream_.get()), preface.data(), preface.size());
-  handed_over_ = preface.size();
+  enqueued_bytes_ = preface.size();
   const std::optional<SocketAddress> address = toSocketAddress(to);
   const bool begun = address && bufferevent_socket_connect(stream_.get(), const_cast<sockaddr*>(address->get()),
                                                            static_cast<int>(address->length)) == 0;
-  connect_timer_ = loop_.runAfter(begun ? options_.connect_timeout : Duration::zero(), [this] { end(); });
+  connect_timer_ = loop_.runAfter(begun ? options_.connect_timeout : Duration::zero(), [this] { close(); });
 }
 
 MessageStream::MessageStream(EventLoop& loop, evutil_socket_t socket, const MessageStreamOptions& options,
@@ -65,12 +65,12 @@
       stream_(bufferevent_socket_new(loop.base(), socket, BEV_OPT_CLOSE_ON_FREE)),
       expects_preface_(true) {
   start();
-  setDeadPeerLimit(socket, options_.dead_peer_limit);
+  setDeadPeerTimeout(socket, options_.dead_peer_timeout);
 }
 
 MessageStream::~MessageStream() {
   loop_.cancel(connect_timer_);
-  loop_.cancel(end_timer_);
+  loop_.cancel(close_timer_);
   *alive_ = false;
 }
 
@@ -83,27 +83,27 @@
   loop_.cancel(std::exchange(connect_timer_, 0));
   const evutil_socket_t socket = bufferevent_getfd(stream_.get());
   setNoDelay(socket);
-  setDeadPeerLimit(socket, options_.dead_peer_limit);
+  setDeadPeerTimeout(socket, options_.dead_peer_timeout);
 }
 
 bool MessageStream::send(std::string message) {
-  if (broken_ || closing_) {
+  if (closed_ || closing_) {
     return false;
   }
   const std::size_t size = kWordBytes + message.size();
-  if (message.size() > options_.message_limit || unsentBytes() + size > options_.unsent_limit) {
-    if (options_.ends_over_limit) {
-      endSoon();
+  if (message.size() > options_.max_message_bytes || unsentBytes() + size > options_.max_unsent_bytes) {
+    if (options_.close_on_limit) {
+      scheduleClose();
     }
     return false;
   }
-  forgetWritten();
+  dropWrittenMessages();
   evbuffer* output = bufferevent_get_output(stream_.get());
   const std::string length = toBytes(static_cast<std::uint32_t>(message.size()));
   evbuffer_add(output, length.data(), length.size());
   appendBytes(output, std::move(message));
-  handed_over_ += size;
-  message_ends_.push_back(handed_over_);
+  enqueued_bytes_ += size;
+  message_ends_.push_back(enqueued_bytes_);
   const bool connecting = connect_timer_ != 0;
   if (!connecting) {
     flushOutput(stream_.get());
@@ -112,12 +112,12 @@
 }
 
 std::size_t MessageStream::unsentBytes() const {
-  return stream_ ? evbuffer_get_length(bufferevent_get_output(stream_.get())) : left_at_end_;
+  return stream_ ? evbuffer_get_length(bufferevent_get_output(stream_.get())) : unsent_bytes_at_close_;
 }
 
-std::uint64_t MessageStream::writtenBytes() const { return handed_over_ - unsentBytes(); }
+std::uint64_t MessageStream::writtenBytes() const { return enqueued_bytes_ - unsentBytes(); }
 
-void MessageStream::forgetWritten() {
+void MessageStream::dropWrittenMessages() {
   const std::uint64_t written = writtenBytes();
   while (!message_ends_.empty() && message_ends_.front() <= written) {
     message_ends_.pop_front();
@@ -136,21 +136,21 @@
   return unsent;
 }
 
-void MessageStream::closeWhenWritten() {
-  if (broken_ || closing_) {
+void MessageStream::closeAfterFlush() {
+  if (closed_ || closing_) {
     return;
   }
   closing_ = true;
   if (unsentBytes() == 0) {
-    finishWriting();
+    shutDownWriting();
   }
 }
 
-void MessageStream::finishWriting() {
+void MessageStream::shutDownWriting() {
   // Closing with unread bytes would reset the connection and could take what was written with it.
   shutdown(bufferevent_getfd(stream_.get()), SHUT_WR);
-  loop_.cancel(end_timer_);
-  end_timer_ = loop_.runAfter(kLinger, [this] { end(); });
+  loop_.cancel(close_timer_);
+  close_timer_ = loop_.runAfter(kLinger, [this] { close(); });
 }
 
 void MessageStream::onRead(bufferevent*, void* argument) { static_cast<MessageStream*>(argument)->readMessages(); }
@@ -158,7 +158,7 @@
 void MessageStream::onWritten(bufferevent*, void* argument) {
   auto* self = static_cast<MessageStream*>(argument);
   if (self->closing_) {
-    self->finishWriting();
+    self->shutDownWriting();
   }
 }
 
@@ -167,7 +167,7 @@
   if ((events & BEV_EVENT_CONNECTED) != 0) {
     self->connected();
   } else {
-    self->end();
+    self->close();
   }
 }
 
@@ -176,7 +176,7 @@
     return false;
   }
   if (peekWord(input) != options_.preface) {
-    end();
+    close();
     return false;
   }
   evbuffer_drain(input, kWordBytes);
@@ -185,7 +185,7 @@
 }
 
 void MessageStream::readMessages() {
-  if (broken_) {
+  if (closed_) {
     return;
   }
   evbuffer* input = bufferevent_get_input(stream_.get());
@@ -195,8 +195,8 @@
   const std::shared_ptr<bool> alive = alive_;
   while (evbuffer_get_length(input) >= kWordBytes) {
     const std::size_t size = peekWord(input);
-    if (size > options_.message_limit) {
-      end();
+    if (size > options_.max_message_bytes) {
+      close();
       return;
     }
     if (evbuffer_get_length(input) < kWordBytes + size) {
@@ -205,29 +205,29 @@
     evbuffer_drain(input, kWordBytes);
     const auto* bytes = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
     callbacks_.onMessage(size == 0 ? std::string_view() : std::string_view(bytes, size));
-    if (!*alive || broken_) {
+    if (!*alive || closed_) {
       return;
     }
     evbuffer_drain(input, size);
   }
 }
 
-void MessageStream::endSoon() {
-  broken_ = true;
-  loop_.cancel(end_timer_);
-  end_timer_ = loop_.runAfter(Duration::zero(), [this] { end(); });
+void MessageStream::scheduleClose() {
+  closed_ = true;
+  loop_.cancel(close_timer_);
+  close_timer_ = loop_.runAfter(Duration::zero(), [this] { close(); });
 }
 
-void MessageStream::end() {
+void MessageStream::close() {
   if (!stream_) {
     return;
   }
   loop_.cancel(std::exchange(connect_timer_, 0));
-  loop_.cancel(std::exchange(end_timer_, 0));
-  broken_ = true;
-  left_at_end_ = evbuffer_get_length(bufferevent_get_output(stream_.get()));
+  loop_.cancel(std::exchange(close_timer_, 0));
+  closed_ = true;
+  unsent_bytes_at_close_ = evbuffer_get_length(bufferevent_get_output(stream_.get()));
   stream_.reset();
-  callbacks_.onEnd();
+  callbacks_.onClosed();
 }
 
 }  // namespace shedlever
--- a/source/net/message_stream.h
+++ b/source/net/message_stream.h
@@ -20,14 +20,14 @@
   /// First word on the stream, from the side that connects; tells protocol and version.
   std::uint32_t preface = 0;
   /// Longest message, in bytes.
-  std::size_t message_limit = 0;
+  std::size_t max_message_bytes = 0;
   /// Bytes that may wait unwritten.
-  std::size_t unsent_limit = 0;
+  std::size_t max_unsent_bytes = 0;
   /// Whether a message over one of the limits ends the stream, or is left out.
-  bool ends_over_limit = true;
+  bool close_on_limit = true;
   Duration connect_timeout = std::chrono::seconds(1);
   /// A stream whose other end acknowledges nothing for this long is ended.
-  Duration dead_peer_limit = std::chrono::seconds(4);
+  Duration dead_peer_timeout = std::chrono::seconds(4);
 };
 
 /// Events of a stream. The stream may be destroyed inside each of them.
@@ -38,7 +38,7 @@
   /// @param message is valid during the call only.
   virtual void onMessage(std::string_view message) = 0;
   /// The last event.
-  virtual void onEnd() = 0;
+  virtual void onClosed() = 0;
 };
 
 class MessageStream {
@@ -60,10 +60,11 @@
   bool send(std::string message);
 
   /// Ends the stream once all is written and the other end has closed, or does not within a second.
-  void closeWhenWritten();
+  void closeAfterFlush();
 
-  /// Ends the stream at once: what arrives on it can't be trusted. `onEnd` runs from the loop; no further message does.
-  void breakNow() { endSoon(); }
+  /// Ends the stream at once: what arrives on it can't be trusted. `onClosed` runs from the loop; no further message
+  /// does.
+  void abort() { scheduleClose(); }
 
   /// @return how many messages, counted back from the last, were not written whole to the network. After the end too.
   std::size_t unsentMessages() const;
@@ -80,12 +81,12 @@
   void connected();
   void readMessages();
   bool takePreface(evbuffer* input);
-  void finishWriting();
-  void end();
+  void shutDownWriting();
+  void close();
   /// Ends from the loop, not inside the present call.
-  void endSoon();
+  void scheduleClose();
   std::uint64_t writtenBytes() const;
-  void forgetWritten();
+  void dropWrittenMessages();
 
   EventLoop& loop_;
   MessageStreamOptions options_;
@@ -94,15 +95,15 @@
   BufferEventHandle stream_;
   TimerId connect_timer_ = 0;
   /// Ends the stream: at once but from the loop, or after the linger time.
-  TimerId end_timer_ = 0;
+  TimerId close_timer_ = 0;
   bool expects_preface_ = false;
-  bool broken_ = false;
+  bool closed_ = false;
   bool closing_ = false;
   /// Where each message ends, as a count of all bytes handed over; those known to be written are taken out.
   std::deque<std::uint64_t> message_ends_;
-  std::uint64_t handed_over_ = 0;
+  std::uint64_t enqueued_bytes_ = 0;
   /// Unwritten bytes at the end of the stream.
-  std::size_t left_at_end_ = 0;
+  std::size_t unsent_bytes_at_close_ = 0;
   /// Set to false by the destructor, for loops that run callbacks.
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/source/net/request_parser.cc
+++ b/source/net/request_parser.cc
@@ -11,7 +11,7 @@
 
 constexpr std::string_view kHeadersEnd = "\r\n\r\n";
 
-RequestParser& self(http_parser* parser) { return *static_cast<RequestParser*>(parser->data); }
+HttpRequestParser& self(http_parser* parser) { return *static_cast<HttpRequestParser*>(parser->data); }
 
 /// @return whether every line ends with CR LF, and none continues the one before it.
 bool linesAreSound(std::string_view block) {
@@ -64,13 +64,13 @@
 
 }  // namespace
 
-RequestParser::RequestParser(std::size_t header_limit, std::size_t body_limit)
+HttpRequestParser::HttpRequestParser(std::size_t header_limit, std::size_t body_limit)
     : header_limit_(header_limit), body_limit_(body_limit) {
   http_parser_init(&parser_, HTTP_REQUEST);
   parser_.data = this;
 }
 
-const http_parser_settings& RequestParser::settings() {
+const http_parser_settings& HttpRequestParser::settings() {
   static const http_parser_settings instance = [] {
     http_parser_settings made;
     http_parser_settings_init(&made);
@@ -85,13 +85,13 @@
   return instance;
 }
 
-int RequestParser::onUrl(http_parser* parser, const char* text, std::size_t size) {
+int HttpRequestParser::onUrl(http_parser* parser, const char* text, std::size_t size) {
   self(parser).request_.target.append(text, size);
   return 0;
 }
 
-int RequestParser::onHeaderField(http_parser* parser, const char* text, std::size_t size) {
-  RequestParser& me = self(parser);
+int HttpRequestParser::onHeaderField(http_parser* parser, const char* text, std::size_t size) {
+  HttpRequestParser& me = self(parser);
   auto& headers = me.request_.headers;
   if (headers.empty() || me.last_was_value_) {
     headers.emplace_back();
@@ -101,22 +101,22 @@
   return 0;
 }
 
-int RequestParser::onHeaderValue(http_parser* parser, const char* text, std::size_t size) {
-  RequestParser& me = self(parser);
+int HttpRequestParser::onHeaderValue(http_parser* parser, const char* text, std::size_t size) {
+  HttpRequestParser& me = self(parser);
   me.request_.headers.back().value.append(text, size);
   me.last_was_value_ = true;
   return 0;
 }
 
-int RequestParser::onHeadersComplete(http_parser* parser) {
-  RequestParser& me = self(parser);
+int HttpRequestParser::onHeadersComplete(http_parser* parser) {
+  HttpRequestParser& me = self(parser);
   me.headers_done_ = true;
   me.request_.method = http_method_str(static_cast<http_method>(parser->method));
-  return me.headersAreSound() ? 0 : -1;
+  return me.headersAreValid() ? 0 : -1;
 }
 
-int RequestParser::onBody(http_parser* parser, const char* text, std::size_t size) {
-  RequestParser& me = self(parser);
+int HttpRequestParser::onBody(http_parser* parser, const char* text, std::size_t size) {
+  HttpRequestParser& me = self(parser);
   if (me.request_.body.size() + size > me.body_limit_) {
     me.body_too_large_ = true;
     return -1;
@@ -125,8 +125,8 @@
   return 0;
 }
 
-int RequestParser::onMessageComplete(http_parser* parser) {
-  RequestParser& me = self(parser);
+int HttpRequestParser::onMessageComplete(http_parser* parser) {
+  HttpRequestParser& me = self(parser);
   me.done_ = true;
   me.keeps_connection_ = http_should_keep_alive(parser) != 0;
   // What follows belongs to the next request.
@@ -134,7 +134,7 @@
   return 0;
 }
 
-bool RequestParser::headersAreSound() {
+bool HttpRequestParser::headersAreValid() {
   std::size_t hosts = 0;
   std::size_t codings = 0;
   bool coding_known = true;
@@ -158,60 +158,60 @@
   return true;
 }
 
-RequestProgress RequestParser::consume(evbuffer* input) {
+HttpRequestParseStatus HttpRequestParser::consume(evbuffer* input) {
   if (!headers_done_) {
-    const RequestProgress progress = takeHeaders(input);
-    if (progress != RequestProgress::InBody) {
+    const HttpRequestParseStatus progress = takeHeaders(input);
+    if (progress != HttpRequestParseStatus::InBody) {
       return progress;
     }
   }
   return takeBody(input);
 }
 
-RequestProgress RequestParser::takeHeaders(evbuffer* input) {
+HttpRequestParseStatus HttpRequestParser::takeHeaders(evbuffer* input) {
   const std::size_t available = evbuffer_get_length(input);
   if (available == 0) {
-    return RequestProgress::Nothing;
+    return HttpRequestParseStatus::Empty;
   }
   const evbuffer_ptr end = evbuffer_search(input, kHeadersEnd.data(), kHeadersEnd.size(), nullptr);
   const std::size_t size = end.pos < 0 ? available : static_cast<std::size_t>(end.pos) + kHeadersEnd.size();
   if (size > header_limit_) {
-    return RequestProgress::HeadersTooLarge;
+    return HttpRequestParseStatus::HeadersTooLarge;
   }
   if (end.pos < 0) {
     // A line without its CR is refused now: an end of headers that another parser sees must not be waited past.
     const auto* begun = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
-    return linesAreSound({begun, size}) ? RequestProgress::InHeaders : RequestProgress::Bad;
+    return linesAreSound({begun, size}) ? HttpRequestParseStatus::InHeaders : HttpRequestParseStatus::Invalid;
   }
   const auto* text = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
   const std::string_view block(text, size);
   if (!linesAreSound(block) || !namesAreSound(block)) {
-    return RequestProgress::Bad;
+    return HttpRequestParseStatus::Invalid;
   }
   const std::size_t taken = http_parser_execute(&parser_, &settings(), text, size);
   const bool stopped_at_end = done_ && HTTP_PARSER_ERRNO(&parser_) == HPE_PAUSED;
   if (!headers_done_ || (!stopped_at_end && (taken != size || HTTP_PARSER_ERRNO(&parser_) != HPE_OK))) {
-    return RequestProgress::Bad;
+    return HttpRequestParseStatus::Invalid;
   }
   evbuffer_drain(input, size);
-  return done_ ? RequestProgress::Done : RequestProgress::InBody;
+  return done_ ? HttpRequestParseStatus::Complete : HttpRequestParseStatus::InBody;
 }
 
-RequestProgress RequestParser::takeBody(evbuffer* input) {
+HttpRequestParseStatus HttpRequestParser::takeBody(evbuffer* input) {
   while (!done_ && evbuffer_get_length(input) > 0) {
     const std::size_t size = evbuffer_get_contiguous_space(input);
     const auto* text = reinterpret_cast<const char*>(evbuffer_pullup(input, static_cast<ev_ssize_t>(size)));
     const std::size_t taken = http_parser_execute(&parser_, &settings(), text, size);
     if (body_too_large_) {
-      return RequestProgress::BodyTooLarge;
+      return HttpRequestParseStatus::BodyTooLarge;
     }
     const http_errno error = HTTP_PARSER_ERRNO(&parser_);
     if (error != HPE_OK && !(done_ && error == HPE_PAUSED)) {
-      return RequestProgress::Bad;
+      return HttpRequestParseStatus::Invalid;
     }
     evbuffer_drain(input, taken);
   }
-  return done_ ? RequestProgress::Done : RequestProgress::InBody;
+  return done_ ? HttpRequestParseStatus::Complete : HttpRequestParseStatus::InBody;
 }
 
 }  // namespace shedlever
--- a/source/net/request_parser.h
+++ b/source/net/request_parser.h
@@ -15,27 +15,27 @@
 
 namespace shedlever {
 
-enum class RequestProgress : std::uint8_t {
-  Nothing,          ///< no byte of a request yet
+enum class HttpRequestParseStatus : std::uint8_t {
+  Empty,            ///< no byte of a request yet
   InHeaders,        ///< begun
   InBody,           ///< headers are in
-  Done,             ///< whole; `take` gives it
-  Bad,              ///< 400
+  Complete,         ///< whole; `takeRequest` gives it
+  Invalid,          ///< 400
   HeadersTooLarge,  ///< 431
   BodyTooLarge,     ///< 413
 };
 
-class RequestParser {
+class HttpRequestParser {
  public:
-  RequestParser(std::size_t header_limit, std::size_t body_limit);
+  HttpRequestParser(std::size_t header_limit, std::size_t body_limit);
 
   /// Takes as much from the buffer as belongs to the request.
-  RequestProgress consume(evbuffer* input);
+  HttpRequestParseStatus consume(evbuffer* input);
 
-  /// The request, after Done; headers that frame it are left out.
-  HttpRequest take() { return std::move(request_); }
+  /// The request, after Complete; headers that frame it are left out.
+  HttpRequest takeRequest() { return std::move(request_); }
 
-  /// @return whether the client keeps the connection open; after Done.
+  /// @return whether the client keeps the connection open; after Complete.
   bool keepsConnection() const { return keeps_connection_; }
 
   /// @return whether the client waits for "100 Continue", once.
@@ -50,9 +50,9 @@
   static int onMessageComplete(http_parser* parser);
   static const http_parser_settings& settings();
 
-  RequestProgress takeHeaders(evbuffer* input);
-  RequestProgress takeBody(evbuffer* input);
-  bool headersAreSound();
+  HttpRequestParseStatus takeHeaders(evbuffer* input);
+  HttpRequestParseStatus takeBody(evbuffer* input);
+  bool headersAreValid();
 
   std::size_t header_limit_;
   std::size_t body_limit_;
--- a/source/net/socket_address.cc
+++ b/source/net/socket_address.cc
@@ -72,7 +72,7 @@
   setsockopt(socket, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 }
 
-void setDeadPeerLimit(evutil_socket_t socket, Duration limit) {
+void setDeadPeerTimeout(evutil_socket_t socket, Duration limit) {
   constexpr int kProbes = 3;
   const int on = 1;
   const auto milliseconds = static_cast<unsigned>(std::chrono::duration_cast<std::chrono::milliseconds>(limit).count());
--- a/source/net/socket_address.h
+++ b/source/net/socket_address.h
@@ -39,6 +39,6 @@
 
 /// Breaks the connection when the other end has acknowledged nothing for about this long, whether or not something
 /// is being sent. Else, after a partition, the kernel's own repeats come minutes apart.
-void setDeadPeerLimit(evutil_socket_t socket, Duration limit);
+void setDeadPeerTimeout(evutil_socket_t socket, Duration limit);
 
 }  // namespace shedlever
--- a/source/net/strict_http_server.cc
+++ b/source/net/strict_http_server.cc
@@ -49,7 +49,7 @@
   std::function<void(int status)> refused;
   std::unique_ptr<TcpListener> listener;
   std::unordered_map<StrictHttpConnection*, std::shared_ptr<StrictHttpConnection>> connections;
-  bool close_after_answers = false;
+  bool close_after_responses = false;
   std::size_t in_flight = 0;
   LinkPacer* pacer = nullptr;
 };
@@ -74,21 +74,21 @@
   StrictHttpConnection& operator=(const StrictHttpConnection&) = delete;
 
   void reply(std::uint64_t number, HttpResponse response) {
-    if (number != number_ || !waiting_) {
+    if (number != request_number_ || !response_pending_) {
       return;
     }
-    endWaiting();
-    const bool keep = parser_->keepsConnection() && !server_.close_after_answers;
+    endPending();
+    const bool keep = parser_->keepsConnection() && !server_.close_after_responses;
     if (isPaced(response)) {
       writePaced(std::move(response), keep);
       return;
     }
     write(std::move(response), keep);
-    afterAnswer(keep);
+    responseWritten(keep);
   }
 
   /// The answer is written, or in the buffers.
-  void afterAnswer(bool keep) {
+  void responseWritten(bool keep) {
     if (!keep) {
       closing_ = true;
       finishClosing();
@@ -106,26 +106,26 @@
   }
 
   void abort(std::uint64_t number) {
-    if (number == number_ && waiting_) {
-      endWaiting();
+    if (number == request_number_ && response_pending_) {
+      endPending();
       remove();
     }
   }
 
-  void onGone(std::uint64_t number, std::function<void()> gone) {
-    if (number == number_ && waiting_) {
-      gone_ = std::move(gone);
+  void onDisconnect(std::uint64_t number, std::function<void()> gone) {
+    if (number == request_number_ && response_pending_) {
+      on_disconnect_ = std::move(gone);
     }
   }
 
   bool idle() const {
-    return !waiting_ && !closing_ && !in_request_ && !sending_ &&
+    return !response_pending_ && !closing_ && !in_request_ && !sending_ &&
            evbuffer_get_length(bufferevent_get_input(stream_.get())) == 0 &&
            evbuffer_get_length(bufferevent_get_output(stream_.get())) == 0;
   }
 
   bool busy() const {
-    return waiting_ || closing_ || sending_ || evbuffer_get_length(bufferevent_get_output(stream_.get())) > 0;
+    return response_pending_ || closing_ || sending_ || evbuffer_get_length(bufferevent_get_output(stream_.get())) > 0;
   }
 
   void remove() { server_.connections.erase(this); }
@@ -149,13 +149,13 @@
       self->timedOut();
       return;
     }
-    self->gone();
+    self->connectionClosed();
   }
 
   void startRequest() {
     parser_.emplace(server_.limits.header_bytes, server_.limits.body_bytes);
     in_request_ = false;
-    headers_in_ = false;
+    headers_received_ = false;
     setReadTimeout(server_.limits.idle_timeout);
   }
 
@@ -170,75 +170,76 @@
       evbuffer_drain(input, evbuffer_get_length(input));
       return;
     }
-    if (waiting_ || sending_) {
+    if (response_pending_ || sending_) {
       return;
     }
-    const RequestProgress progress = parser_->consume(bufferevent_get_input(stream_.get()));
+    const HttpRequestParseStatus progress = parser_->consume(bufferevent_get_input(stream_.get()));
     switch (progress) {
-      case RequestProgress::Nothing:
+      case HttpRequestParseStatus::Empty:
         return;
-      case RequestProgress::InHeaders:
+      case HttpRequestParseStatus::InHeaders:
         if (!in_request_) {
           in_request_ = true;
           startHeaderTimer();
         }
         return;
-      case RequestProgress::InBody:
-        headersArrived();
+      case HttpRequestParseStatus::InBody:
+        headersReceived();
         return;
-      case RequestProgress::Done:
-        headersArrived();
-        handOver();
+      case HttpRequestParseStatus::Complete:
+        headersReceived();
+        dispatchRequest();
         return;
-      case RequestProgress::Bad:
-        refuse(kBadRequest);
+      case HttpRequestParseStatus::Invalid:
+        rejectRequest(kBadRequest);
         return;
-      case RequestProgress::HeadersTooLarge:
-        refuse(kHeadersTooLarge);
+      case HttpRequestParseStatus::HeadersTooLarge:
+        rejectRequest(kHeadersTooLarge);
         return;
-      case RequestProgress::BodyTooLarge:
-        refuse(kBodyTooLarge);
+      case HttpRequestParseStatus::BodyTooLarge:
+        rejectRequest(kBodyTooLarge);
         return;
     }
   }
 
   /// The headers have so long in all, however slowly their bytes come.
   void startHeaderTimer() {
-    server_.loop.runAfter(server_.limits.header_timeout, [weak = weak_from_this(), number = number_] {
+    server_.loop.runAfter(server_.limits.header_timeout, [weak = weak_from_this(), number = request_number_] {
       const auto self = weak.lock();
-      if (self && self->number_ == number && self->in_request_ && !self->headers_in_ && !self->closing_) {
-        self->refuse(kRequestTimeout);
+      if (self && self->request_number_ == number && self->in_request_ && !self->headers_received_ && !self->closing_) {
+        self->rejectRequest(kRequestTimeout);
       }
     });
   }
 
-  void headersArrived() {
+  void headersReceived() {
     in_request_ = true;
-    headers_in_ = true;
+    headers_received_ = true;
     if (parser_->takeExpectsContinue()) {
       constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
       evbuffer_add(bufferevent_get_output(stream_.get()), kContinue.data(), kContinue.size());
     }
   }
 
-  void handOver() {
+  void dispatchRequest() {
     bufferevent_set_timeouts(stream_.get(), nullptr, nullptr);
-    waiting_ = true;
+    response_pending_ = true;
     ++server_.in_flight;
-    HttpRequest request = parser_->take();
+    HttpRequest request = parser_->takeRequest();
     is_head_ = request.method == "HEAD";
-    server_.handler(std::move(request), HttpReplier(weak_from_this(), number_));
+    server_.handler(std::move(request), StrictHttpResponder(weak_from_this(), request_number_));
   }
 
-  void endWaiting() {
-    waiting_ = false;
-    gone_ = {};
-    ++number_;
+  void endPending() {
+    response_pending_ = false;
+    on_disconnect_ = {};
+    ++request_number_;
     --server_.in_flight;
   }
 
   bool isPaced(const HttpResponse& response) const {
-    return server_.pacer != nullptr && server_.pacer->limited() && !is_head_ && response.body.size() >= kPacedBytes;
+    return server_.pacer != nullptr && server_.pacer->isLimited() && !is_head_ &&
+           response.body.size() >= kMinPacedMessageBytes;
   }
 
   /// Writes the head at once and the body piece by piece; the next request is read after the last one.
@@ -268,7 +269,7 @@
       server_.loop.post([weak = weak_from_this(), keep] {
         if (const auto self = weak.lock()) {
           self->sending_ = false;
-          self->afterAnswer(keep);
+          self->responseWritten(keep);
         }
       });
     }
@@ -292,7 +293,7 @@
   void write(HttpResponse response, bool keep) {
     std::string head = headOf(response, response.body.size(), keep);
     if (server_.pacer != nullptr) {
-      server_.pacer->note(head.size() + response.body.size());
+      server_.pacer->recordSent(head.size() + response.body.size());
     }
     evbuffer* output = bufferevent_get_output(stream_.get());
     appendBytes(output, std::move(head));
@@ -303,7 +304,7 @@
   }
 
   /// Answers what can't be handed over, and reads no further.
-  void refuse(int status) {
+  void rejectRequest(int status) {
     is_head_ = false;
     if (server_.refused) {
       server_.refused(status);
@@ -314,17 +315,17 @@
   }
 
   void timedOut() {
-    if (in_request_ && !waiting_ && !closing_) {
-      refuse(kRequestTimeout);
+    if (in_request_ && !response_pending_ && !closing_) {
+      rejectRequest(kRequestTimeout);
     } else {
       remove();
     }
   }
 
-  void gone() {
-    if (waiting_) {
-      std::function<void()> tell = std::move(gone_);
-      endWaiting();
+  void connectionClosed() {
+    if (response_pending_) {
+      std::function<void()> tell = std::move(on_disconnect_);
+      endPending();
       if (tell) {
         server_.loop.post(std::move(tell));
       }
@@ -344,15 +345,15 @@
 
   StrictHttpServer::State& server_;
   BufferEventHandle stream_;
-  std::optional<RequestParser> parser_;
-  std::function<void()> gone_;
+  std::optional<HttpRequestParser> parser_;
+  std::function<void()> on_disconnect_;
   /// Numbers the requests of this connection.
-  std::uint64_t number_ = 1;
+  std::uint64_t request_number_ = 1;
   /// Some bytes of a request have come.
   bool in_request_ = false;
-  bool headers_in_ = false;
+  bool headers_received_ = false;
   /// A request was handed over and waits for its answer.
-  bool waiting_ = false;
+  bool response_pending_ = false;
   bool closing_ = false;
   bool is_head_ = false;
   /// A large answer is being written piece by piece.
@@ -362,21 +363,21 @@
   std::size_t body_written_ = 0;
 };
 
-void HttpReplier::reply(HttpResponse response) const {
+void StrictHttpResponder::reply(HttpResponse response) const {
   if (const auto connection = connection_.lock()) {
-    connection->reply(number_, std::move(response));
+    connection->reply(request_number_, std::move(response));
   }
 }
 
-void HttpReplier::abort() const {
+void StrictHttpResponder::abort() const {
   if (const auto connection = connection_.lock()) {
-    connection->abort(number_);
+    connection->abort(request_number_);
   }
 }
 
-void HttpReplier::onGone(std::function<void()> gone) const {
+void StrictHttpResponder::onDisconnect(std::function<void()> gone) const {
   if (const auto connection = connection_.lock()) {
-    connection->onGone(number_, std::move(gone));
+    connection->onDisconnect(request_number_, std::move(gone));
   }
 }
 
@@ -404,11 +405,11 @@
 
 void StrictHttpServer::setLimits(const StrictHttpLimits& limits) { state_->limits = limits; }
 
-void StrictHttpServer::onRefused(std::function<void(int status)> refused) { state_->refused = std::move(refused); }
+void StrictHttpServer::onRejected(std::function<void(int status)> refused) { state_->refused = std::move(refused); }
 
-void StrictHttpServer::closeAfterAnswers() { state_->close_after_answers = true; }
+void StrictHttpServer::closeAfterResponses() { state_->close_after_responses = true; }
 
-void StrictHttpServer::closeIdle() {
+void StrictHttpServer::closeIdleConnections() {
   std::vector<StrictHttpConnection*> idle;
   for (const auto& [raw, connection] : state_->connections) {
     if (raw->idle()) {
@@ -425,6 +426,6 @@
                                                 [](const auto& entry) { return entry.first->busy(); }));
 }
 
-std::size_t StrictHttpServer::inFlight() const { return state_->in_flight; }
+std::size_t StrictHttpServer::inFlightRequests() const { return state_->in_flight; }
 
 }  // namespace shedlever
--- a/source/net/strict_http_server.h
+++ b/source/net/strict_http_server.h
@@ -33,10 +33,10 @@
 
 /// Answers one request, now or later. Copies name the same request. Does nothing once the client is gone, or the
 /// server destroyed.
-class HttpReplier {
+class StrictHttpResponder {
  public:
-  explicit HttpReplier(std::weak_ptr<StrictHttpConnection> connection, std::uint64_t number)
-      : connection_(std::move(connection)), number_(number) {}
+  explicit StrictHttpResponder(std::weak_ptr<StrictHttpConnection> connection, std::uint64_t number)
+      : connection_(std::move(connection)), request_number_(number) {}
 
   /// Sends the answer with its length. Headers that frame the message are left out.
   void reply(HttpResponse response) const;
@@ -45,14 +45,14 @@
   void abort() const;
 
   /// @param gone runs once from the loop if the client goes away before it has been answered.
-  void onGone(std::function<void()> gone) const;
+  void onDisconnect(std::function<void()> gone) const;
 
  private:
   std::weak_ptr<StrictHttpConnection> connection_;
-  std::uint64_t number_;
+  std::uint64_t request_number_;
 };
 
-using StrictHttpHandler = std::function<void(HttpRequest request, HttpReplier replier)>;
+using StrictHttpHandler = std::function<void(HttpRequest request, StrictHttpResponder replier)>;
 
 /// Listens on one address. Requests that come pipelined are handed over one after the other.
 class StrictHttpServer {
@@ -72,20 +72,20 @@
   void setLimits(const StrictHttpLimits& limits);
 
   /// @param refused runs with the status of each answer to what could not be handed over.
-  void onRefused(std::function<void(int status)> refused);
+  void onRejected(std::function<void(int status)> refused);
 
   /// Every answer from now on closes its connection.
-  void closeAfterAnswers();
+  void closeAfterResponses();
 
   /// Closes connections that rest between requests.
-  void closeIdle();
+  void closeIdleConnections();
 
   /// @return connections whose request is not answered, or whose answer is not written whole, or not taken yet by a
   ///   client that the connection is closed to. A process that ends with any would cut an answer.
   std::size_t busyConnections() const;
 
   /// @return requests that were handed over and not answered.
-  std::size_t inFlight() const;
+  std::size_t inFlightRequests() const;
 
   struct State;
 
--- a/source/net/system_sources.cc
+++ b/source/net/system_sources.cc
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-TimePoint BootClockImpl::now() const { return TimePoint(readClock(CLOCK_BOOTTIME)); }
+TimePoint BootTimeClock::now() const { return TimePoint(readClock(CLOCK_BOOTTIME)); }
 
 SystemRandom::SystemRandom() : generator_(seededGenerator()) {}
 
--- a/source/net/system_sources.h
+++ b/source/net/system_sources.h
@@ -10,7 +10,7 @@
 namespace shedlever {
 
 /// Reads CLOCK_BOOTTIME, which counts on while the machine is suspended.
-class BootClockImpl final : public Clock {
+class BootTimeClock final : public Clock {
  public:
   TimePoint now() const override;
 };
--- a/source/router/gateway.cc
+++ b/source/router/gateway.cc
@@ -49,12 +49,12 @@
   }
 }
 
-void Gateway::refuseAtOnce(const HttpRequest& http, const HttpReplier& replier, const Refusal& refusal) {
+void Gateway::refuseAtOnce(const HttpRequest& http, const StrictHttpResponder& replier, const Refusal& refusal) {
   replier.reply(ports_.protocol->makeRefusalResponse(refusal));
   recorder_.refusedAtOnce(http, refusal.id, refusal.reason, routes_ ? routes_->version() : 0);
 }
 
-void Gateway::handle(HttpRequest http, const HttpReplier& replier) {
+void Gateway::handle(HttpRequest http, const StrictHttpResponder& replier) {
   const TimePoint now = ports_.clock->now();
   last_request_at_ = now;
   RequestId id = ports_.protocol->requestIdOf(http);
@@ -95,7 +95,7 @@
       onDeadline(number);
     }
   });
-  replier.onGone([this, number] { onClientGone(number); });
+  replier.onDisconnect([this, number] { onClientGone(number); });
   budget_.onRequest(request.service);
   if (refuseQuarantined(number)) {
     return;
--- a/source/router/gateway.h
+++ b/source/router/gateway.h
@@ -59,7 +59,7 @@
   void setProcessCount(std::size_t processes) { budget_.setProcessCount(processes); }
 
   /// A request has arrived whole.
-  void handle(HttpRequest http, const HttpReplier& replier);
+  void handle(HttpRequest http, const StrictHttpResponder& replier);
 
   /// An owner table has changed, or a key is newly held: requests that wait for their owner go on.
   void onOwnersChanged();
@@ -77,7 +77,7 @@
 
   using Request = GatewayRequest;
 
-  void refuseAtOnce(const HttpRequest& http, const HttpReplier& replier, const Refusal& refusal);
+  void refuseAtOnce(const HttpRequest& http, const StrictHttpResponder& replier, const Refusal& refusal);
   void claim(RequestNumber number);
   void onClaim(RequestNumber number, ClaimResult answer);
   void dispatch(RequestNumber number);
--- a/source/router/gateway_request.h
+++ b/source/router/gateway_request.h
@@ -26,11 +26,11 @@
 };
 
 struct GatewayRequest {
-  GatewayRequest(HttpRequest its_http, HttpReplier its_replier, std::shared_ptr<const RouteTable> its_routes)
+  GatewayRequest(HttpRequest its_http, StrictHttpResponder its_replier, std::shared_ptr<const RouteTable> its_routes)
       : http(std::move(its_http)), replier(std::move(its_replier)), routes(std::move(its_routes)) {}
 
   HttpRequest http;
-  HttpReplier replier;
+  StrictHttpResponder replier;
   std::shared_ptr<const RouteTable> routes;
   const Route* route = nullptr;
   ServiceName service;
--- a/source/router/peer_client.cc
+++ b/source/router/peer_client.cc
@@ -32,7 +32,7 @@
     pinged_at = {};
     auto frame = decodeRouterFrame(message);
     if (!frame || (!up && !acceptHello(frame.value()))) {
-      stream.breakNow();
+      stream.abort();
       return;
     }
     client.onFrame(node, std::move(frame.value()));
@@ -52,7 +52,7 @@
     return true;
   }
 
-  void onEnd() override {
+  void onClosed() override {
     // The stream must not be destroyed by what follows while its own callback runs.
     ended = true;
     client.loop_.post([owner = &client, alive = client.alive_, to = node] {
@@ -190,7 +190,7 @@
   directory_.markUnreachable(link.node);
   events_.on_reachable(link.node, false);
   const std::vector<ExchangeId> open = pendingAt(link.node);
-  link.stream.breakNow();
+  link.stream.abort();
   // Others are settled once the node can be reached again.
   for (const ExchangeId exchange : open) {
     const auto found = pending_.find(exchange);
@@ -307,7 +307,7 @@
   }
   std::string& bytes = partial_replies[part.exchange];
   bytes += part.bytes;
-  const bool too_long = bytes.size() > peerStreamOptions().message_limit;
+  const bool too_long = bytes.size() > peerStreamOptions().max_message_bytes;
   if (!part.last && !too_long) {
     return;
   }
@@ -315,7 +315,7 @@
   partial_replies.erase(part.exchange);
   auto* reply = frame ? std::get_if<ForwardReplyFrame>(&frame.value()) : nullptr;
   if (reply == nullptr || too_long) {
-    found->second->stream.breakNow();
+    found->second->stream.abort();
     return;
   }
   onReply(std::move(*reply));
--- a/source/router/peer_server.cc
+++ b/source/router/peer_server.cc
@@ -25,13 +25,13 @@
   void onMessage(std::string_view message) override {
     auto frame = decodeRouterFrame(message);
     if (!frame) {
-      stream.breakNow();
+      stream.abort();
       return;
     }
     server.onFrame(number, std::move(frame.value()));
   }
 
-  void onEnd() override {
+  void onClosed() override {
     ended = true;
     server.loop_.post([owner = &server, alive = server.alive_, its_number = number] {
       if (*alive) {
@@ -42,7 +42,7 @@
 
   bool send(const RouterFrame& frame) {
     std::string bytes = encodeRouterFrame(frame);
-    server.ports_.pacer->note(bytes.size());
+    server.ports_.pacer->recordSent(bytes.size());
     return sendEncoded(std::move(bytes));
   }
 
@@ -204,8 +204,8 @@
 void PeerServer::sendReply(StreamId number, Stream& stream, ForwardReplyFrame reply) {
   const ExchangeId exchange = reply.exchange;
   std::string bytes = encodeRouterFrame(std::move(reply));
-  if (!ports_.pacer->limited() || bytes.size() < kPacedBytes) {
-    ports_.pacer->note(bytes.size());
+  if (!ports_.pacer->isLimited() || bytes.size() < kMinPacedMessageBytes) {
+    ports_.pacer->recordSent(bytes.size());
     stream.sendEncoded(std::move(bytes));
     return;
   }
--- a/source/router/peer_stream_options.h
+++ b/source/router/peer_stream_options.h
@@ -12,10 +12,10 @@
 inline MessageStreamOptions peerStreamOptions() {
   MessageStreamOptions options;
   options.preface = kRouterPreface;
-  options.message_limit = 80U << 20U;
-  options.unsent_limit = 96U << 20U;
+  options.max_message_bytes = 80U << 20U;
+  options.max_unsent_bytes = 96U << 20U;
   options.connect_timeout = std::chrono::milliseconds(800);
-  options.dead_peer_limit = std::chrono::milliseconds(1500);
+  options.dead_peer_timeout = std::chrono::milliseconds(1500);
   return options;
 }
 
--- a/source/router/router_process.cc
+++ b/source/router/router_process.cc
@@ -38,8 +38,9 @@
       server_link_(loop_, settings_.server, *platform_.servers),
       server_(settings_.service, settings_.server),
       pacer_(loop_, clock_, settings_.link),
-      gate_(clock_, settings_.queue, server_link_,
-            {[this](double more_bytes) { return pacer_.limited() ? pacer_.waitFor(more_bytes) : Duration::zero(); }},
+      gate_(clock_, settings_.queue, server_link_, {[this](double more_bytes) {
+              return pacer_.isLimited() ? pacer_.transmissionTime(more_bytes) : Duration::zero();
+            }},
             gate_recorder_, gateEvents()),
       peer_client_(loop_, clock_, self_, directory_, peerClientEvents()),
       store_client_(loop_, clock_, settings_.store, peer_client_, log_, metrics_),
@@ -98,13 +99,13 @@
 }
 
 leaf::result<void> RouterProcess::openListeners() {
-  const auto on_client = [this](HttpRequest request, const HttpReplier& replier) {
+  const auto on_client = [this](HttpRequest request, const StrictHttpResponder& replier) {
     gateway_->handle(std::move(request), replier);
   };
-  const auto on_readiness = [this](const HttpRequest& request, const HttpReplier& replier) {
+  const auto on_readiness = [this](const HttpRequest& request, const StrictHttpResponder& replier) {
     replier.reply(status_pages_.answer(request));
   };
-  const auto on_report = [this](const HttpRequest& request, const HttpReplier& replier) {
+  const auto on_report = [this](const HttpRequest& request, const StrictHttpResponder& replier) {
     onReportRequest(request, replier);
   };
   const auto call_store = [this](StoreCall call, StoreClient::Callback done) {
@@ -132,7 +133,7 @@
   }
   BOOST_LEAF_AUTO(clients, StrictHttpServer::listen(loop_, settings_.clients_listen, {}, on_client, &pacer_));
   clients_ = std::move(clients);
-  clients_->onRefused([this](int status) {
+  clients_->onRejected([this](int status) {
     metrics_.onEvent("unreadable-request");
     if (log_.mayWriteFailed()) {
       log_.write("clients", "unreadable-request", {{"status", std::to_string(status)}});
@@ -283,7 +284,7 @@
   }
 }
 
-void RouterProcess::onReportRequest(const HttpRequest& request, const HttpReplier& replier) {
+void RouterProcess::onReportRequest(const HttpRequest& request, const StrictHttpResponder& replier) {
   const auto report = platform_.reports->readReport(request);
   if (!report) {
     onUnreadable("reports", request.target);
@@ -505,7 +506,7 @@
   stop_started_at_ = clock_.now();
   log_.write("router", "stopping", {{"in_flight", std::to_string(gateway_->inFlight())}});
   gate_.setProcessEnd(stop_started_at_ + settings_.stop.grace - kShutdownReserve);
-  clients_->closeAfterAnswers();
+  clients_->closeAfterResponses();
   // The server goes on without this process, but nobody reaches it then: it is used until shortly before the end.
   const Duration until_leaving =
       server_.instance().empty() ? Duration::zero() : settings_.stop.clients_leave - kLeaveNotice;
@@ -530,7 +531,7 @@
   const bool keys_gone = !ownership_manager_ || server_.instance().empty() || ownership_manager_->ownsNothing();
   // An answer that is given but not written whole, or not taken, would be cut.
   const bool all_written =
-      clients_->busyConnections() == 0 && peer_server_->unsentBytes() == 0 && pacer_.backlog() == 0;
+      clients_->busyConnections() == 0 && peer_server_->unsentBytes() == 0 && pacer_.backlogBytes() == 0;
   const bool idle = gateway_->inFlight() == 0 && gate_.empty() && keys_gone && all_written;
   const bool late = passed >= settings_.stop.grace - kShutdownReserve;
   if ((idle && passed >= settings_.stop.clients_leave) || late) {
@@ -547,7 +548,7 @@
   if (passed >= settings_.stop.clients_leave) {
     // Clients that can go nowhere else stay: what comes now could not be finished.
     gateway_->refuseNewRequests();
-    clients_->closeIdle();
+    clients_->closeIdleConnections();
   }
   runAfter(kTickInterval, [this] { pollStopCompletion(); });
 }
--- a/source/router/router_process.h
+++ b/source/router/router_process.h
@@ -89,7 +89,7 @@
   HeartbeatResponder::Ports responderPorts();
   /// What another has written or sent is left out, as it can't be read.
   void onUnreadable(const char* part, const std::string& what);
-  void onReportRequest(const HttpRequest& request, const HttpReplier& replier);
+  void onReportRequest(const HttpRequest& request, const StrictHttpResponder& replier);
   PresenceChange onReport(const ServerReport& report);
   /// Asks the server which life it is; the report counts only if it is of that one.
   void verifyInstance(const ServerReport& report);
@@ -118,7 +118,7 @@
   EventLoop& loop_;
   RouterSettings settings_;
   PlatformAdapters platform_;
-  BootClockImpl clock_;
+  BootTimeClock clock_;
   SystemRandom random_;
   NodeIdentity self_;
   EventLog log_;
--- a/source/router/server_client.cc
+++ b/source/router/server_client.cc
@@ -21,18 +21,18 @@
 HttpClientConfig requestConfig(const Endpoint& server) {
   HttpClientConfig config;
   config.server = server;
-  config.connections = kMaxConnections;
+  config.max_connections = kMaxConnections;
   config.connect_timeout = kConnectTimeout;
   config.idle_timeout = kIdleTimeout;
-  config.keep_host = true;
-  config.close_framed = true;
+  config.preserve_host = true;
+  config.allow_close_delimited = true;
   return config;
 }
 
 HttpClientConfig orderConfig(const Endpoint& server) {
   HttpClientConfig config;
   config.server = server;
-  config.connections = kOrderConnections;
+  config.max_connections = kOrderConnections;
   config.connect_timeout = kConnectTimeout;
   config.idle_timeout = kIdleTimeout;
   return config;
@@ -53,7 +53,7 @@
   const Duration remaining = request.head.remaining;
   const bool keyed = request.head.key.has_value();
   auto finished = [this, id = request.head.id, instance = request.head.instance, keyed, done = std::move(done)](
-                      HttpExchange exchange) { done(resultOf(std::move(exchange), id, instance, keyed)); };
+                      HttpExchangeResult exchange) { done(resultOf(std::move(exchange), id, instance, keyed)); };
   auto check = [this, id = request.head.id, instance = request.head.instance, keyed](const HttpResponse& answer) {
     return protocol_.classify(answer, id, instance, keyed) != AnswerKind::Broken;
   };
@@ -62,18 +62,18 @@
 
 void ServerClient::cancel(HttpExchangeId exchange) { requests_.cancel(exchange); }
 
-ServerResult ServerClient::resultOf(HttpExchange exchange, const RequestId& id, const InstanceId& instance,
+ServerResult ServerClient::resultOf(HttpExchangeResult exchange, const RequestId& id, const InstanceId& instance,
                                     bool keyed) const {
   ServerResult result;
-  result.reached_server = exchange.status != HttpExchangeStatus::NeverSent;
+  result.reached_server = exchange.status != HttpExchangeStatus::NotSent;
   switch (exchange.status) {
     case HttpExchangeStatus::Complete:
       break;
-    case HttpExchangeStatus::NeverSent:
+    case HttpExchangeStatus::NotSent:
       result.outcome = ForwardOutcome::NotRun;
       result.reason = ForwardReason::ServerDown;
-      result.server_gone = exchange.refused;
-      result.connect_failed = !exchange.refused;
+      result.server_gone = exchange.connection_refused;
+      result.connect_failed = !exchange.connection_refused;
       return result;
     case HttpExchangeStatus::ConnectionLost:
       result.reason = ForwardReason::ConnectionLost;
@@ -114,23 +114,23 @@
 
 void ServerClient::grant(const GrantCommand& order, std::function<void(CommandStatus)> done) {
   orders_.send(protocol_.grantRequest(order), kGrantTimeout,
-               [this, done = std::move(done)](const HttpExchange& exchange) {
+               [this, done = std::move(done)](const HttpExchangeResult& exchange) {
                  if (exchange.status == HttpExchangeStatus::Complete) {
                    done(protocol_.commandStatus(exchange.response));
                  } else {
-                   done(exchange.refused ? CommandStatus::ServerGone : CommandStatus::NoAnswer);
+                   done(exchange.connection_refused ? CommandStatus::ServerGone : CommandStatus::NoAnswer);
                  }
                });
 }
 
 void ServerClient::release(const ReleaseCommand& order, std::function<void(ReleaseResult)> done) {
   orders_.send(protocol_.releaseRequest(order), kReleaseTimeout,
-               [this, done = std::move(done)](const HttpExchange& exchange) {
+               [this, done = std::move(done)](const HttpExchangeResult& exchange) {
                  ReleaseResult result;
                  if (exchange.status == HttpExchangeStatus::Complete) {
                    result.status = protocol_.commandStatus(exchange.response);
                    result.handover = protocol_.handoverOf(exchange.response);
-                 } else if (exchange.refused) {
+                 } else if (exchange.connection_refused) {
                    result.status = CommandStatus::ServerGone;
                  }
                  done(result);
@@ -139,11 +139,11 @@
 
 void ServerClient::identify(const std::string& health_path, std::function<void(ServerId server, bool refused)> done) {
   orders_.send(protocol_.healthRequest(health_path), kIdentifyTimeout,
-               [this, done = std::move(done)](const HttpExchange& exchange) {
+               [this, done = std::move(done)](const HttpExchangeResult& exchange) {
                  if (exchange.status == HttpExchangeStatus::Complete) {
                    done(protocol_.serverIdOf(exchange.response), false);
                  } else {
-                   done({}, exchange.refused);
+                   done({}, exchange.connection_refused);
                  }
                });
 }
--- a/source/router/server_client.h
+++ b/source/router/server_client.h
@@ -52,7 +52,7 @@
   void identify(const std::string& health_path, std::function<void(ServerId server, bool refused)> done);
 
  private:
-  ServerResult resultOf(HttpExchange exchange, const RequestId& id, const InstanceId& instance, bool keyed) const;
+  ServerResult resultOf(HttpExchangeResult exchange, const RequestId& id, const InstanceId& instance, bool keyed) const;
 
   const ServerProtocol& protocol_;
   HttpClient requests_;
--- a/source/router/store_client.cc
+++ b/source/router/store_client.cc
@@ -41,9 +41,9 @@
 HttpClientConfig clientConfig(const Endpoint& store, std::size_t connections) {
   HttpClientConfig config;
   config.server = store;
-  config.connections = connections;
+  config.max_connections = connections;
   config.connect_timeout = kConnectTimeout;
-  config.dead_peer_limit = kDeadPeerTimeout;
+  config.dead_peer_timeout = kDeadPeerTimeout;
   return config;
 }
 
@@ -75,7 +75,7 @@
 void StoreClient::callDirectly(StoreCall call, Callback done) {
   const std::string method =
       call.connection == StoreConnection::Reused ? call.request.method : methodLabel(call.connection);
-  const auto on_end = [this, method, sent = clock_.now(), done = std::move(done)](HttpExchange exchange) {
+  const auto on_end = [this, method, sent = clock_.now(), done = std::move(done)](HttpExchangeResult exchange) {
     const bool answered = exchange.status == HttpExchangeStatus::Complete;
     metrics_.onStoreCall(method, answered ? exchange.response.status : 0, clock_.now() - sent);
     if (answered != direct_calls_work_) {
--- a/standins/router/key_server.cc
+++ b/standins/router/key_server.cc
@@ -98,7 +98,7 @@
     }
   }
   reporter_->send({"POST", "/instances/" + instance_ + "/heartbeat", {}, body.dump()}, kReportTimeout,
-                  [this, leaves = draining_, keys, sent = clock_.now()](const HttpExchange& exchange) {
+                  [this, leaves = draining_, keys, sent = clock_.now()](const HttpExchangeResult& exchange) {
                     if (leaves && exchange.status == HttpExchangeStatus::Complete && on_acknowledged_) {
                       std::exchange(on_acknowledged_, {})();
                     }
@@ -115,7 +115,7 @@
   });
 }
 
-void KeyServer::onAcknowledged(const HttpExchange& exchange, const KeyReport& reported, TimePoint sent) {
+void KeyServer::onAcknowledged(const HttpExchangeResult& exchange, const KeyReport& reported, TimePoint sent) {
   if (exchange.status != HttpExchangeStatus::Complete || exchange.response.status != kOk) {
     return;
   }
--- a/standins/router/key_server.h
+++ b/standins/router/key_server.h
@@ -103,7 +103,7 @@
   /// Sends a heartbeat, and plans the next one.
   void report();
   void reportAfter(Duration pause);
-  void onAcknowledged(const HttpExchange& exchange, const KeyReport& reported, TimePoint sent);
+  void onAcknowledged(const HttpExchangeResult& exchange, const KeyReport& reported, TimePoint sent);
   /// @return whether requests for the key may begin now, and under which token; 0: they may not.
   std::uint64_t tokenFor(int key) const;
   bool isRunningOn(int first, int last) const;
@@ -112,7 +112,7 @@
 
   EventLoop& loop_;
   KeyServerConfig config_;
-  BootClockImpl clock_;
+  BootTimeClock clock_;
   std::mt19937_64 random_;
   std::string instance_;
   /// Milliseconds since 1970.
