--- a/demo/demo_main.cc
+++ b/demo/demo_main.cc
@@ -111,10 +111,10 @@
 int runDemo(const std::string& settings, const std::string& folder, bool keys_by_heartbeat) {
   EventLoop loop;
   soak::LocalDeploymentConfig config;
-  config.binaries = std::filesystem::canonical("/proc/self/exe").parent_path().string();
-  config.folder = folder;
+  config.binary_folder = std::filesystem::canonical("/proc/self/exe").parent_path().string();
+  config.run_folder = folder;
   config.interface_kind = "shedlever";
-  config.work_ms = 10;
+  config.request_duration_ms = 10;
   config.keys_by_heartbeat = keys_by_heartbeat;
   soak::LocalDeployment deployment(loop, config);
   say("starting the store, six servers with a router beside each, keys by " +
@@ -141,7 +141,7 @@
   victim.server_process->signal(SIGKILL);
   while (!runner.done()) {
     deployment.runFor(kKeepStep);
-    deployment.keepRunning();
+    deployment.restartExitedProcesses();
   }
   return printSummary(runner.records(), deployment) ? EXIT_SUCCESS : EXIT_FAILURE;
 }
--- a/soak/config_probe.h
+++ b/soak/config_probe.h
@@ -14,7 +14,7 @@
 namespace shedlever::soak {
 
 /// @return path prefix of the route that only this version has.
-std::string newestPrefix(std::uint64_t version);
+std::string routePrefixOfVersion(std::uint64_t version);
 
 /// Asks each node for the route that only the newest configuration has, until it is served.
 class ConfigProbe {
@@ -23,19 +23,19 @@
   ConfigProbe(EventLoop& loop, std::vector<std::unique_ptr<HttpClient>>& clients) : loop_(loop), clients_(clients) {}
 
   /// A version was written: questions for older ones end.
-  void onWritten(std::uint64_t version) { version_ = version; }
+  void setExpectedVersion(std::uint64_t version) { version_ = version; }
 
   /// Asks all nodes for the version that was written last.
   void start();
 
   /// @return how many nodes were seen to have a changed configuration in force.
-  std::size_t seenInForce() const { return seen_in_force_; }
+  std::size_t activeCount() const { return seen_in_force_; }
   /// @return what was broken: nodes at which a version was not in force in time.
-  const std::vector<std::string>& broken() const { return broken_; }
+  const std::vector<std::string>& violations() const { return broken_; }
 
  private:
-  void ask(std::size_t client, std::uint64_t version, Duration waited);
-  void onAnswer(std::size_t client, std::uint64_t version, Duration waited, const HttpExchange& exchange);
+  void sendProbe(std::size_t client, std::uint64_t version, Duration waited);
+  void onResponse(std::size_t client, std::uint64_t version, Duration waited, const HttpExchange& exchange);
 
   EventLoop& loop_;
   std::vector<std::unique_ptr<HttpClient>>& clients_;
--- a/soak/fatal_requests.cc
+++ b/soak/fatal_requests.cc
@@ -5,15 +5,15 @@
 namespace {
 
 constexpr Duration kTimeout = std::chrono::milliseconds(2500);
-constexpr std::size_t kMostLives = 3;
+constexpr std::size_t kMaxCrashesPerRequest = 3;
 /// Names of the two requests: what their ids begin with.
-constexpr const char* kInTurn = "in-turn-";
-constexpr const char* kAtOnce = "at-once-";
+constexpr const char* kSequentialName = "in-turn-";
+constexpr const char* kConcurrentName = "at-once-";
 /// Far apart, so that the two have different owners at first.
-constexpr const char* kKeyInTurn = "7";
-constexpr const char* kKeyAtOnce = "40000";
+constexpr const char* kSequentialKey = "7";
+constexpr const char* kConcurrentKey = "40000";
 /// Rounds with the one request alone: the other one's ends would stand beside it.
-constexpr std::size_t kRoundsInTurn = 12;
+constexpr std::size_t kSequentialRounds = 12;
 
 }  // namespace
 
@@ -30,23 +30,23 @@
 
 void FatalRequests::sendRound() {
   const std::size_t round = rounds_++;
-  if (round < kRoundsInTurn) {
-    send(round % clients_.size(), kInTurn, kKeyInTurn);
+  if (round < kSequentialRounds) {
+    send(round % clients_.size(), kSequentialName, kSequentialKey);
     return;
   }
   for (std::size_t client = 0; client < clients_.size(); ++client) {
-    send(client, kAtOnce, kKeyAtOnce);
+    send(client, kConcurrentName, kConcurrentKey);
   }
 }
 
 std::vector<std::string> FatalRequests::violations(const check::RunChecks& checks) const {
   std::vector<std::string> broken;
-  for (const char* name : {kInTurn, kAtOnce}) {
+  for (const char* name : {kSequentialName, kConcurrentName}) {
     const std::size_t lives = checks.livesThatBegan(name);
-    if (lives == 0 && rounds_ > kRoundsInTurn) {
+    if (lives == 0 && rounds_ > kSequentialRounds) {
       broken.push_back(std::string("the fatal request ") + name + " reached no server");
     }
-    if (lives > kMostLives) {
+    if (lives > kMaxCrashesPerRequest) {
       broken.push_back(std::string("the fatal request ") + name + " cost " + std::to_string(lives) + " servers");
     }
   }
--- a/soak/fault_proxy.cc
+++ b/soak/fault_proxy.cc
@@ -10,7 +10,7 @@
 namespace shedlever::soak {
 
 /// One proxied connection: `near` is the side that connected, `far` the target.
-struct FaultProxy::Pair {
+struct FaultProxy::Connection {
   FaultProxy* proxy = nullptr;
   BufferEventHandle near;
   BufferEventHandle far;
@@ -32,16 +32,16 @@
 FaultProxy::~FaultProxy() { *alive_ = false; }
 
 void FaultProxy::accept(evutil_socket_t socket) {
-  auto pair = std::make_unique<Pair>();
+  auto pair = std::make_unique<Connection>();
   pair->proxy = this;
   pair->near.reset(bufferevent_socket_new(loop_.base(), socket, BEV_OPT_CLOSE_ON_FREE));
   pair->far.reset(bufferevent_socket_new(loop_.base(), -1, BEV_OPT_CLOSE_ON_FREE));
   const auto on_read = [](bufferevent*, void* argument) {
-    auto* at = static_cast<Pair*>(argument);
+    auto* at = static_cast<Connection*>(argument);
     at->proxy->pump(*at);
   };
   const auto on_event = [](bufferevent* stream, short events, void* argument) {
-    auto* at = static_cast<Pair*>(argument);
+    auto* at = static_cast<Connection*>(argument);
     if ((events & BEV_EVENT_CONNECTED) != 0) {
       return;
     }
@@ -62,17 +62,17 @@
     case LinkFault::None:
     case LinkFault::Delayed:
       return true;
-    case LinkFault::Silent:
+    case LinkFault::Blocked:
       return false;
-    case LinkFault::TowardsOnly:
+    case LinkFault::ToTargetOnly:
       return towards;
-    case LinkFault::BackOnly:
+    case LinkFault::FromTargetOnly:
       return !towards;
   }
   return true;
 }
 
-void FaultProxy::pump(Pair& pair) {
+void FaultProxy::pump(Connection& pair) {
   if (fault_ == LinkFault::Delayed && !pair.pump_planned) {
     pair.pump_planned = true;
     loop_.runAfter(delay_, [this, alive = alive_, at = &pair] {
@@ -96,7 +96,7 @@
   }
 }
 
-void FaultProxy::end(Pair& pair) {
+void FaultProxy::end(Connection& pair) {
   // What was passed on is still to be written: the kernel gets it before the socket is closed.
   bufferevent_flush(pair.near.get(), EV_WRITE, BEV_FLUSH);
   bufferevent_flush(pair.far.get(), EV_WRITE, BEV_FLUSH);
@@ -110,11 +110,11 @@
 void FaultProxy::setFault(LinkFault fault, Duration delay) {
   fault_ = fault;
   delay_ = delay;
-  std::vector<Pair*> all;
+  std::vector<Connection*> all;
   for (const auto& pair : pairs_) {
     all.push_back(pair.get());
   }
-  for (Pair* pair : all) {
+  for (Connection* pair : all) {
     pump(*pair);
   }
 }
--- a/soak/fault_proxy.h
+++ b/soak/fault_proxy.h
@@ -12,9 +12,9 @@
 
 enum class LinkFault : std::uint8_t {
   None,
-  Silent,       ///< nothing passes, nothing is closed
-  TowardsOnly,  ///< only what the connecting side sends passes
-  BackOnly,     ///< only what the other side sends passes
+  Blocked,         ///< nothing passes, nothing is closed
+  ToTargetOnly,    ///< only what the connecting side sends passes
+  FromTargetOnly,  ///< only what the other side sends passes
   Delayed,
 };
 
@@ -34,18 +34,18 @@
   void resetAll();
 
  private:
-  struct Pair;
+  struct Connection;
   FaultProxy(EventLoop& loop, Endpoint target);
   void accept(evutil_socket_t socket);
-  void pump(Pair& pair);
-  void end(Pair& pair);
+  void pump(Connection& pair);
+  void end(Connection& pair);
   bool passes(bool towards) const;
 
   EventLoop& loop_;
   Endpoint target_;
   LinkFault fault_ = LinkFault::None;
   Duration delay_{};
-  std::list<std::unique_ptr<Pair>> pairs_;
+  std::list<std::unique_ptr<Connection>> pairs_;
   std::unique_ptr<TcpListener> listener_;
   std::shared_ptr<bool> alive_ = std::make_shared<bool>(true);
 };
--- a/soak/local_deployment.cc
+++ b/soak/local_deployment.cc
@@ -12,14 +12,14 @@
 
 namespace {
 
-constexpr Duration kStoreStart = milliseconds(200);
+constexpr Duration kStoreStartDelay = milliseconds(200);
 
 template <class Value>
 std::unique_ptr<Value> orNull(leaf::result<std::unique_ptr<Value>> result) {
   return result ? std::move(result.value()) : nullptr;
 }
 
-bool endedByItself(const test::ChildEnd& end) { return end.status != 0 && end.signal != SIGKILL; }
+bool endedByItself(const test::ChildExit& end) { return end.status != 0 && end.signal != SIGKILL; }
 
 }  // namespace
 
@@ -35,17 +35,17 @@
 void LocalDeployment::startStore() {
   store_endpoint_ = ports_.next();
   store_ =
-      orNull(test::ChildProcess::start({config_.binaries + "/standin-metadata",
+      orNull(test::ChildProcess::start({config_.binary_folder + "/standin-metadata",
                                         {"--listen", toString(store_endpoint_), "--seed", std::to_string(config_.seed)},
                                         logOf("store")}));
-  runFor(kStoreStart);
+  runFor(kStoreStartDelay);
 }
 
 LocalNode& LocalDeployment::addNode(const std::string& service, bool divided) {
   nodes_.push_back(std::make_unique<LocalNode>());
   LocalNode& node = *nodes_.back();
   nameNode(node);
-  node.divided = divided;
+  node.divided_by_key = divided;
   // Every other one: both kinds of restarts come in each run.
   node.keeps_server_id = nodes_.size() % 2 == 0;
   node.service = service;
@@ -61,7 +61,7 @@
 
 void LocalDeployment::nameNode(LocalNode& node) {
   node.name = "node-" + std::to_string(server_logs_.size());
-  node.settings_file = config_.folder + "/" + node.name + ".json";
+  node.settings_file = config_.run_folder + "/" + node.name + ".json";
   node.server_log = logOf(node.name + "-server");
   server_logs_.push_back(node.server_log);
 }
@@ -74,7 +74,7 @@
   }
   nameNode(node);
   node.service = service;
-  node.divided = divided;
+  node.divided_by_key = divided;
 }
 
 void LocalDeployment::startRouter(LocalNode& node) {
@@ -93,7 +93,7 @@
       {"stop", {{"grace", "4s"}, {"clients_leave", "1s"}}}};
   std::ofstream(node.settings_file) << settings.dump(1);
   node.router_process = orNull(test::ChildProcess::start(
-      {config_.binaries + "/shedleverd", {"--settings", node.settings_file}, logOf(node.name)}));
+      {config_.binary_folder + "/shedleverd", {"--settings", node.settings_file}, logOf(node.name)}));
 }
 
 void LocalDeployment::startServer(LocalNode& node) {
@@ -101,9 +101,9 @@
                                         "--reports-to", toString(node.reports),
                                         "--service",    node.service,
                                         "--log",        node.server_log,
-                                        "--work-ms",    std::to_string(config_.work_ms),
+                                        "--work-ms",    std::to_string(config_.request_duration_ms),
                                         "--seed",       std::to_string(random_())};
-  if (node.divided) {
+  if (node.divided_by_key) {
     arguments.emplace_back("--divided");
   }
   if (!config_.fatal_path.empty()) {
@@ -116,10 +116,10 @@
     arguments.emplace_back("--keys-by-heartbeat");
   }
   node.server_process = orNull(test::ChildProcess::start(
-      {config_.binaries + "/standin-keys", arguments, config_.folder + "/" + node.name + "-server.out"}));
+      {config_.binary_folder + "/standin-keys", arguments, config_.run_folder + "/" + node.name + "-server.out"}));
 }
 
-std::vector<std::string> LocalDeployment::keepRunning() {
+std::vector<std::string> LocalDeployment::restartExitedProcesses() {
   std::vector<std::string> ends;
   for (const auto& node : nodes_) {
     if (node->router_process) {
@@ -131,13 +131,13 @@
         node->router_process.reset();
       }
     }
-    if (!node->router_process && node->router_wanted) {
+    if (!node->router_process && node->restart_router) {
       startRouter(*node);
     }
     if (node->server_process && node->server_process->poll()) {
       node->server_process.reset();
     }
-    if (!node->server_process && node->server_wanted) {
+    if (!node->server_process && node->restart_server) {
       startServer(*node);
     }
   }
@@ -145,8 +145,9 @@
 }
 
 int LocalDeployment::runProgram(const std::string& program, const std::vector<std::string>& arguments, Duration cap) {
-  const auto child = orNull(test::ChildProcess::start({config_.binaries + "/" + program, arguments, logOf(program)}));
-  const auto end = child ? child->waitForEnd(loop_, cap) : std::nullopt;
+  const auto child =
+      orNull(test::ChildProcess::start({config_.binary_folder + "/" + program, arguments, logOf(program)}));
+  const auto end = child ? child->waitForExit(loop_, cap) : std::nullopt;
   return end ? end->status : -1;
 }
 
--- a/soak/local_deployment.h
+++ b/soak/local_deployment.h
@@ -18,12 +18,12 @@
 struct LocalDeploymentConfig {
   std::uint64_t seed = 1;
   /// Where the programs are.
-  std::string binaries;
+  std::string binary_folder;
   /// For settings and logs; exists.
-  std::string folder;
+  std::string run_folder;
   /// "shedlever" or "platform".
   std::string interface_kind = "platform";
-  unsigned work_ms = 20;
+  unsigned request_duration_ms = 20;
   /// Servers take their keys in the acknowledgements of their heartbeats.
   bool keys_by_heartbeat = false;
   /// Path of a request under which servers end; empty for none.
@@ -35,7 +35,7 @@
   std::string name;
   std::string service;
   /// Whether the service is divided by key.
-  bool divided = false;
+  bool divided_by_key = false;
   /// Whether the server starts again under the id that it had.
   bool keeps_server_id = false;
   Endpoint clients;
@@ -51,8 +51,8 @@
   std::unique_ptr<test::ChildProcess> router_process;
   std::unique_ptr<test::ChildProcess> server_process;
   /// Whether it is started again when it has ended.
-  bool router_wanted = true;
-  bool server_wanted = true;
+  bool restart_router = true;
+  bool restart_server = true;
 };
 
 class LocalDeployment {
@@ -67,12 +67,12 @@
   LocalNode& addNode(const std::string& service, bool divided);
 
   /// The node and its server are lost for good; a new node of that service gets its addresses. Its processes are
-  /// started by `keepRunning`.
+  /// started by `restartExitedProcesses`.
   void replaceNode(LocalNode& node, const std::string& service, bool divided);
 
   /// Starts again what has ended and is wanted.
   /// @return how routers ended that nobody told to end, in words.
-  std::vector<std::string> keepRunning();
+  std::vector<std::string> restartExitedProcesses();
 
   /// Runs a program to its end.
   /// @return its exit status; -1 when a signal or the cap ended it.
@@ -91,7 +91,7 @@
   void nameNode(LocalNode& node);
   void startRouter(LocalNode& node);
   void startServer(LocalNode& node);
-  std::string logOf(const std::string& name) const { return config_.folder + "/" + name + ".log"; }
+  std::string logOf(const std::string& name) const { return config_.run_folder + "/" + name + ".log"; }
 
   EventLoop& loop_;
   LocalDeploymentConfig config_;
--- a/soak/soak_main.cc
+++ b/soak/soak_main.cc
@@ -18,19 +18,20 @@
   soak::SoakConfig config;
   int seconds = 60;
   std::uint64_t rounds = 1;
-  config.binaries = std::filesystem::canonical("/proc/self/exe").parent_path().string();
+  config.binary_folder = std::filesystem::canonical("/proc/self/exe").parent_path().string();
   options::options_description flags("shedlever-soak: real processes under random faults, promises checked");
   flags.add_options()("help", "this text")("seed", options::value(&config.seed), "first seed")(
       "rounds", options::value(&rounds), "how many seeds, one after the other")("seconds", options::value(&seconds),
                                                                                 "of faults in each round")(
       "rate", options::value(&config.requests_per_second), "requests a second")(
       "keys-by-heartbeat", options::bool_switch(&config.keys_by_heartbeat), "servers take keys by heartbeat")(
-      "planned", options::bool_switch(&config.planned_only),
+      "planned", options::bool_switch(&config.maintenance_only),
       "only planned work, of which no request may notice anything")(
       "fatal", options::bool_switch(&config.fatal_only),
       "only requests under which servers end, brought at machines of several services")(
-      "restores", options::bool_switch(&config.restores), "beside all else the store comes back from copies")(
-      "folder", options::value(&config.folder)->default_value("soak-run"), "for settings and logs; a folder a seed");
+      "restores", options::bool_switch(&config.restore_store), "beside all else the store comes back from copies")(
+      "folder", options::value(&config.run_folder)->default_value("soak-run"),
+      "for settings and logs; a folder a seed");
   options::variables_map given;
   try {
     options::store(options::parse_command_line(argc, argv, flags), given);
@@ -43,15 +44,15 @@
     std::cout << flags;
     return EXIT_SUCCESS;
   }
-  config.faults_for = std::chrono::seconds(seconds);
-  const std::string base = config.folder;
+  config.fault_duration = std::chrono::seconds(seconds);
+  const std::string base = config.run_folder;
   bool all_kept = true;
   for (std::uint64_t round = 0; round < rounds; ++round) {
-    config.folder = base + "/seed-" + std::to_string(config.seed);
-    std::filesystem::remove_all(config.folder);
-    std::filesystem::create_directories(config.folder);
+    config.run_folder = base + "/seed-" + std::to_string(config.seed);
+    std::filesystem::remove_all(config.run_folder);
+    std::filesystem::create_directories(config.run_folder);
     EventLoop loop;
-    soak::SoakWorld world(loop, config);
+    soak::SoakRunner world(loop, config);
     const std::vector<std::string> broken = world.run();
     const check::CheckCounts counts = world.checks().counts();
     std::cout << "seed " << config.seed << ": " << (broken.empty() ? "kept" : "BROKEN")
--- a/standins/fault_fields.cc
+++ b/standins/fault_fields.cc
@@ -17,7 +17,7 @@
   return found == json_.end() ? nullptr : &*found;
 }
 
-void FaultFields::flag(const std::string& name, bool& value) {
+void FaultFields::readFlag(const std::string& name, bool& value) {
   const nlohmann::json* field = find(name);
   if (field == nullptr) {
     return;
@@ -29,7 +29,7 @@
   value = field->get<bool>();
 }
 
-void FaultFields::count(const std::string& name, std::uint32_t& value) {
+void FaultFields::readCount(const std::string& name, std::uint32_t& value) {
   const nlohmann::json* field = find(name);
   if (field == nullptr) {
     return;
@@ -41,9 +41,9 @@
   value = field->get<std::uint32_t>();
 }
 
-void FaultFields::milliseconds(const std::string& name, Duration& value) {
+void FaultFields::readMilliseconds(const std::string& name, Duration& value) {
   auto number = static_cast<std::uint32_t>(std::chrono::duration_cast<std::chrono::milliseconds>(value).count());
-  count(name, number);
+  readCount(name, number);
   value = std::chrono::milliseconds(number);
 }
 
--- a/standins/fault_fields.h
+++ b/standins/fault_fields.h
@@ -19,9 +19,9 @@
   /// @param json the body; outlives this object.
   explicit FaultFields(const nlohmann::json& json);
 
-  void flag(const std::string& name, bool& value);
-  void count(const std::string& name, std::uint32_t& value);
-  void milliseconds(const std::string& name, Duration& value);
+  void readFlag(const std::string& name, bool& value);
+  void readCount(const std::string& name, std::uint32_t& value);
+  void readMilliseconds(const std::string& name, Duration& value);
 
   /// @return Findings when something was wrong or a name is unknown.
   leaf::result<void> finish();
--- a/standins/json_request.h
+++ b/standins/json_request.h
@@ -18,7 +18,7 @@
 /// Runs `use` on what `read` makes of the body and answers 200; answers 400 with the findings if it can't.
 /// @param read from JSON to leaf::result.
 template <class Read, class Use>
-void takeJson(const StandinRequest& request, StandinResponder responder, Read read, Use use) {
+void handleJsonBody(const StandinRequest& request, StandinResponder responder, Read read, Use use) {
   const nlohmann::json body = nlohmann::json::parse(request.http.body, nullptr, false);
   leaf::try_handle_all(
       [&]() -> leaf::result<void> {
--- a/standins/router/standin_metadata_main.cc
+++ b/standins/router/standin_metadata_main.cc
@@ -20,7 +20,7 @@
   options::variables_map given;
   options::store(options::parse_command_line(argc, argv, flags), given);
   options::notify(given);
-  const std::optional<Endpoint> endpoint = standins::readEndpoint(listen);
+  const std::optional<Endpoint> endpoint = standins::parseEndpoint(listen);
   if (given.contains("help") || !endpoint) {
     std::cout << flags;
     return EXIT_FAILURE;
--- a/standins/standin_http_server.cc
+++ b/standins/standin_http_server.cc
@@ -164,7 +164,7 @@
   reply({status, {{"Content-Type", "application/json"}}, json});
 }
 
-void StandinResponder::replyCut(const HttpResponse& response) { exchange_->sendCut(response); }
+void StandinResponder::replyTruncated(const HttpResponse& response) { exchange_->sendCut(response); }
 
 void StandinResponder::replyTwice(const HttpResponse& response) { exchange_->send(response, asBytes(response)); }
 
--- a/standins/standin_http_server.h
+++ b/standins/standin_http_server.h
@@ -38,7 +38,7 @@
   void reply(const HttpResponse& response);
   void replyJson(int status, const std::string& json);
   /// Sends the headers of the whole answer and half of its body, then closes.
-  void replyCut(const HttpResponse& response);
+  void replyTruncated(const HttpResponse& response);
   /// Sends the answer twice in one go.
   void replyTwice(const HttpResponse& response);
   /// Closes the connection without an answer.
--- a/standins/standin_process.cc
+++ b/standins/standin_process.cc
@@ -6,7 +6,7 @@
 
 namespace shedlever::standins {
 
-std::optional<Endpoint> readEndpoint(const std::string& text) {
+std::optional<Endpoint> parseEndpoint(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos || colon == 0) {
     return std::nullopt;
--- a/standins/standin_process.h
+++ b/standins/standin_process.h
@@ -13,7 +13,7 @@
 
 /// @param text "IP:PORT".
 /// @return nothing when it is none.
-std::optional<Endpoint> readEndpoint(const std::string& text);
+std::optional<Endpoint> parseEndpoint(const std::string& text);
 
 /// Prints "listening port=N", then runs the loop until SIGTERM or SIGINT.
 void runUntilSignalled(EventLoop& loop, const Endpoint& listening);
